--- a/crates/control/src/endpoint.rs
+++ b/crates/control/src/endpoint.rs
@@ -184,7 +184,7 @@
                 }
             }
         }
-        let _ = self.poll.ask(&self.listener, LISTENER, true, false);
+        let _ = self.poll.rearm(&self.listener, LISTENER, true, false);
     }
 
     fn admit(&mut self, now: Instant, connection: Connection) {
@@ -217,7 +217,10 @@
             return self.close(key);
         }
         let Some(connection) = self.connections.get(&key) else { return };
-        if self.poll.ask(connection.stream(), key, connection.wants_read(), connection.wants_write()).is_err()
+        if self
+            .poll
+            .rearm(connection.stream(), key, connection.wants_read(), connection.wants_write())
+            .is_err()
         {
             self.close(key);
         }
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -188,7 +188,7 @@
     pub fn ready(&mut self, now: Time, lists: &mut Vec<Told>) -> Result<(), WatchError> {
         let Some(link) = &mut self.link else { return Ok(()) };
         if !link.connected {
-            link.connected = badgergauge_net::connected(&link.stream)?;
+            link.connected = badgergauge_net::is_connected(&link.stream)?;
         }
         if !link.connected || !link.request.flush(&mut link.stream)? {
             return Ok(());
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -457,7 +457,7 @@
     /// A connection for a request, registered under the key: an idle one, or a new one.
     fn connection(&mut self, broker: usize, key: usize) -> io::Result<TcpStream> {
         if let Some(stream) = self.pool.take(&self.poll, broker) {
-            return match self.poll.ask(&stream, key, true, true) {
+            return match self.poll.rearm(&stream, key, true, true) {
                 Ok(()) => Ok(stream),
                 Err(error) => {
                     self.poll.remove(&stream);
@@ -565,7 +565,7 @@
         match attempt.advance() {
             Ok(None) => {
                 let write = attempt.written < attempt.ready_to_write;
-                if self.poll.ask(&attempt.stream, key, true, write).is_err() {
+                if self.poll.rearm(&attempt.stream, key, true, write).is_err() {
                     self.end(key, Ended::Lost { closed: true });
                 }
             }
--- a/crates/fleet/src/pool.rs
+++ b/crates/fleet/src/pool.rs
@@ -31,7 +31,7 @@
 impl Pool {
     /// Keeps a connection, which is registered with the poller; one that can't be watched is closed.
     pub fn keep(&mut self, poll: &Poll, key: usize, broker: usize, stream: TcpStream) {
-        if poll.ask(&stream, key, true, false).is_ok() {
+        if poll.rearm(&stream, key, true, false).is_ok() {
             self.idle.insert(key, Idle { broker, stream });
         } else {
             poll.remove(&stream);
--- a/crates/fleet/src/proxy.rs
+++ b/crates/fleet/src/proxy.rs
@@ -302,7 +302,7 @@
                 self.fills[link] = fills.collect();
             } else if was_cut && !rule.is_cut() {
                 let _ = SockRef::from(listener).listen(BACKLOG);
-                let _ = self.poll.ask(listener, link, true, false);
+                let _ = self.poll.rearm(listener, link, true, false);
             }
         }
         let of: Vec<usize> = self.pairs.iter().filter(|(_, p)| p.link == link).map(|(key, _)| *key).collect();
@@ -385,7 +385,7 @@
             self.pairs.insert(keys[0], Pair { link, streams: [stream, other], keys, flows });
         }
         if let Route::Tcp { listener: Some(listener), .. } = &self.routes[link] {
-            let _ = self.poll.ask(listener, link, true, false);
+            let _ = self.poll.rearm(listener, link, true, false);
         }
     }
 
@@ -408,7 +408,7 @@
             }
         }
         if let Route::Udp { socket, .. } = &self.routes[link] {
-            let _ = self.poll.ask(socket, link, true, false);
+            let _ = self.poll.rearm(socket, link, true, false);
         }
     }
 
@@ -458,7 +458,7 @@
             return self.drop_pair(key, false);
         }
         for ((stream, key), [read, write]) in pair.streams.iter().zip(pair.keys).zip(wants) {
-            let _ = self.poll.ask(stream, key, read, write);
+            let _ = self.poll.rearm(stream, key, read, write);
         }
         if let Some(at) = next {
             self.due.push(Reverse((at, key)));
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -10,48 +10,48 @@
 use std::io;
 
 use badgergauge_poll::Poll;
-pub use badgergauge_poll::{ACCEPT_QUEUE, Ready, connect, connected, datagrams, listen};
+pub use badgergauge_poll::{LISTEN_BACKLOG, Ready, bind_udp, connect, is_connected, listen};
 
 use self::clock::Clock;
-use self::wheel::Wheel;
+use self::wheel::TimerWheel;
 use badgergauge_core::core::AttemptId;
 use badgergauge_core::{QueryId, ServerId, TimerId};
 
 /// What falls due on the wheel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum TimerEvent {
     /// A timer of the module's.
-    Module(TimerId),
+    Core(TimerId),
     /// The end of a query's time.
-    Deadline(QueryId),
+    QueryDeadline(QueryId),
     /// The end of the wait for an attempt.
-    TimeOut(AttemptId),
+    AttemptTimeout(AttemptId),
     /// The end of the wait for a connection to a server, by its key.
-    Connect(usize),
+    ConnectTimeout(usize),
     /// The end of the wait for the rest of an answer, by its connection's key.
-    Stalled(usize),
+    ResponseStalled(usize),
     /// Discovery's silence, or the wait before the next watch.
-    Watch,
+    DiscoveryWatch,
     /// The end of what a server that drains may still be sent.
-    Drained(ServerId),
+    DrainGraceExpired(ServerId),
     /// A look for connections to servers that have fallen silent.
     SilenceCheck,
     /// The end of the wait after word that attempts were given up: their outcomes may be told.
-    Heard,
+    CancelsRead,
     /// A look over connections that stand idle.
-    Sweep,
+    IdleSweep,
     /// The end of listening after SIGTERM.
     StopListening,
     /// The end of taking requests on the connections there are, after it.
     StopServing,
     /// The end of the time for which connections may rest in a drain.
-    DrainRest,
+    DrainIdleEnd,
     /// The gauges that operators read are to be set anew.
-    Gauges,
+    UpdateGauges,
     /// The end of the process's time: what is open is answered.
-    EndBy,
+    ShutdownDeadline,
     /// The end of the time in which an attempt may still begin.
-    Latest(AttemptId),
+    LatestSend(AttemptId),
 }
 
 /// What everything on the loop shares.
@@ -59,7 +59,7 @@
     /// The poller.
     pub poll: Poll,
     /// The timers.
-    pub wheel: Wheel<Due>,
+    pub timers: TimerWheel<TimerEvent>,
     /// The clock.
     pub clock: Clock,
     last_key: usize,
@@ -76,8 +76,8 @@
     ///
     /// When the system has no descriptors left.
     pub fn new(clock: Clock) -> io::Result<Self> {
-        let wheel = Wheel::new(clock.now());
-        Ok(Net { poll: Poll::new()?, wheel, clock, last_key: LAST_FIXED_KEY })
+        let timers = TimerWheel::new(clock.now());
+        Ok(Net { poll: Poll::new()?, timers, clock, last_key: LAST_FIXED_KEY })
     }
 
     /// A key that was never given out before.
--- a/crates/net/src/wheel.rs
+++ b/crates/net/src/wheel.rs
@@ -9,19 +9,19 @@
 const SLOTS: u64 = 1024;
 
 /// Timers by the tick at which they fall due; a slot holds those of all rounds.
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     slots: Vec<Vec<(u64, T)>>,
     /// All before this tick have fallen due.
     current: u64,
     held: usize,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// An empty wheel that starts at `now`.
     pub fn new(now: Time) -> Self {
         let mut slots = Vec::new();
         slots.resize_with(SLOTS as usize, Vec::new);
-        Wheel { slots, current: now.0 / TICK.as_nanos() as u64, held: 0 }
+        TimerWheel { slots, current: now.0 / TICK.as_nanos() as u64, held: 0 }
     }
 
     /// Sets a timer.
--- a/crates/net/src/wheel/tests.rs
+++ b/crates/net/src/wheel/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn timers_come_in_order_never_early_and_over_rounds() {
     let ms = |ms: u64| Time(ms * 1_000_000);
-    let mut wheel = Wheel::new(ms(7));
+    let mut wheel = TimerWheel::new(ms(7));
     let mut due = Vec::new();
     wheel.arm(ms(5000), "far");
     wheel.arm(Time(20_500_000), "between ticks");
--- a/crates/poll/src/lib.rs
+++ b/crates/poll/src/lib.rs
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// When it is not registered.
-    pub fn ask(&self, source: &impl AsFd, key: usize, read: bool, write: bool) -> io::Result<()> {
+    pub fn rearm(&self, source: &impl AsFd, key: usize, read: bool, write: bool) -> io::Result<()> {
         self.poller.modify(source, Event::new(key, read, write))
     }
 
@@ -98,7 +98,7 @@
     }
 }
 
-/// Begins a connection; [`connected`] tells when it is up.
+/// Begins a connection; [`is_connected`] tells when it is up.
 ///
 /// # Errors
 ///
@@ -114,7 +114,7 @@
 }
 
 /// Connections that may wait to be accepted at a listener; the system may allow fewer.
-pub const ACCEPT_QUEUE: usize = 1024;
+pub const LISTEN_BACKLOG: usize = 1024;
 
 /// Listens at an address. With `shared`, other sockets of this user that ask for the same may be bound there, too
 /// (SO_REUSEPORT), and the system deals new connections to all of them.
@@ -129,7 +129,7 @@
         socket.set_reuse_port(true)?;
     }
     socket.bind(&address.into())?;
-    socket.listen(ACCEPT_QUEUE as i32)?;
+    socket.listen(LISTEN_BACKLOG as i32)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
 }
@@ -139,7 +139,7 @@
 /// # Errors
 ///
 /// When the address can't be bound.
-pub fn datagrams(address: SocketAddr, shared: bool) -> io::Result<UdpSocket> {
+pub fn bind_udp(address: SocketAddr, shared: bool) -> io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
     if shared {
         socket.set_reuse_port(true)?;
@@ -157,7 +157,7 @@
 /// # Errors
 ///
 /// When it failed.
-pub fn connected(stream: &TcpStream) -> io::Result<bool> {
+pub fn is_connected(stream: &TcpStream) -> io::Result<bool> {
     if let Some(error) = SockRef::from(stream).take_error()? {
         return Err(error);
     }
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -488,7 +488,7 @@
             }
         }
         if let Some((_, listener)) = self.listeners.get(&key) {
-            let _ = self.poll.ask(listener, key, true, false);
+            let _ = self.poll.rearm(listener, key, true, false);
         }
     }
 
@@ -514,7 +514,7 @@
 
     fn ask(&mut self, key: usize) {
         let Some(link) = self.links.get(&key) else { return };
-        let _ = self.poll.ask(&link.stream, key, true, !link.out.is_empty());
+        let _ = self.poll.rearm(&link.stream, key, true, !link.out.is_empty());
     }
 
     fn read(&mut self, now: Duration, key: usize) {
--- a/src/backend.rs
+++ b/src/backend.rs
@@ -22,7 +22,7 @@
 use crate::config::settings::SiteSettings;
 use crate::core::{AttemptId, Send};
 use crate::interface::{Effect, LoadReport, ServerId, Time, Verdict};
-use crate::net::{Due, Net};
+use crate::net::{Net, TimerEvent};
 
 /// Something that ended at a server.
 #[derive(Clone, Debug, PartialEq)]
@@ -292,7 +292,7 @@
         let Some(connection) = self.connections.get_mut(&key) else { return false };
         let mut result = Ok(());
         if !connection.connected {
-            result = crate::net::connected(&connection.stream).map(|up| connection.connected = up);
+            result = crate::net::is_connected(&connection.stream).map(|up| connection.connected = up);
             if connection.connected {
                 self.setup.learn(now.since(connection.last_used));
             }
@@ -316,7 +316,7 @@
             begun.filter(|_| frames.is_empty()).or(Some(now))
         };
         if connection.begun.is_some() && connection.begun != begun {
-            net.wheel.arm(now.after(self.stall()), Due::Stalled(key));
+            net.timers.arm(now.after(self.stall()), TimerEvent::ResponseStalled(key));
         }
         // What came whole before the fault counts; behind it nothing can be told apart any more.
         for frame in &frames {
@@ -391,7 +391,7 @@
         let write = connection.wants_write();
         if reported || write != connection.asked_write {
             connection.asked_write = write;
-            if net.poll.ask(&connection.stream, key, true, write).is_err() {
+            if net.poll.rearm(&connection.stream, key, true, write).is_err() {
                 self.drop_connection(net, key, ClosedBy::Broker);
             }
         }
--- a/src/backend/give_up.rs
+++ b/src/backend/give_up.rs
@@ -7,7 +7,7 @@
 use super::{Backend, Done, finish};
 use crate::core::AttemptId;
 use crate::interface::{LoadReport, Time, Verdict};
-use crate::net::{Due, Net};
+use crate::net::{Net, TimerEvent};
 
 /// How long after word that an attempt is given up has been written (a frame `c`, or this broker's close of
 /// its connection) the attempt counts as over: the slack that the protocol gives every time limit, taken as how
@@ -94,7 +94,7 @@
         if let Some(next) = next
             && self.held_outcomes_due.is_none_or(|armed| armed <= now || next < armed)
         {
-            net.wheel.arm(next, Due::Heard);
+            net.timers.arm(next, TimerEvent::CancelsRead);
             self.held_outcomes_due = Some(next);
         }
     }
--- a/src/backend/selection.rs
+++ b/src/backend/selection.rs
@@ -6,7 +6,7 @@
 use super::silence::DOUBTED;
 use super::{Backend, ClosedBy};
 use crate::interface::{ServerId, Time};
-use crate::net::{Due, Net};
+use crate::net::{Net, TimerEvent};
 
 /// Connections to one server at the most; one is the rule.
 const MOST_PER_SERVER: usize = 8;
@@ -95,7 +95,7 @@
         let stream = crate::net::connect(address).ok()?;
         let key = net.new_key();
         net.poll.add(&stream, key, true, true).ok()?;
-        net.wheel.arm(now.after(self.setup.limit()), Due::Connect(key));
+        net.timers.arm(now.after(self.setup.limit()), TimerEvent::ConnectTimeout(key));
         let connection = Connection::new(id, address, stream, now);
         self.connections.insert(key, connection);
         self.servers.get_mut(&id)?.connections.push(key);
--- a/src/backend/tests.rs
+++ b/src/backend/tests.rs
@@ -103,8 +103,8 @@
     let key = *bench.backend.connections.keys().next().expect("one");
     let mut due = Vec::new();
     let at = bench.net.clock.now().after(limit + Duration::from_millis(20));
-    bench.net.wheel.expire(at, &mut due);
-    assert!(due.contains(&Due::Connect(key)), "{due:?}");
+    bench.net.timers.expire(at, &mut due);
+    assert!(due.contains(&TimerEvent::ConnectTimeout(key)), "{due:?}");
 }
 
 // Guards the verdict on what was never written, in each way a connection may fail to come up, and
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -32,7 +32,7 @@
 use crate::lifecycle::{Lifecycle, Phase as LifePhase};
 use crate::net::client::Client;
 use crate::net::clock::Clock;
-use crate::net::{Due, Net, Ready, datagrams};
+use crate::net::{Net, Ready, TimerEvent, bind_udp};
 use crate::record::TraceRecorder;
 use crate::state::StateStore;
 use crate::upgrade::{RENDEZVOUS, TO_PREDECESSOR, TO_SUCCESSOR, Upgrade};
@@ -188,17 +188,17 @@
             .filter(|(_, all)| core.talks() && all.len() == settings.module.front_nodes as usize);
         let peers = peers.map(|(at, all)| {
             let adopted = upgrade.as_mut().and_then(|upgrade: &mut Upgrade| upgrade.take_datagrams(at));
-            let socket = adopted.map_or_else(|| datagrams(at, is_operated), Ok);
+            let socket = adopted.map_or_else(|| bind_udp(at, is_operated), Ok);
             socket.map(|socket| (socket, all))
         });
         let peers = peers.transpose().map_err(|error| invalid(format!("peer_listen: {error}")))?;
         let front = Front::new(settings.clone(), config.ogc.clone(), config.seed);
         let now = clock.now();
-        net.wheel.arm(now, Due::Watch);
-        net.wheel.arm(now.after(SWEEP), Due::Sweep);
-        net.wheel.arm(now, Due::SilenceCheck);
+        net.timers.arm(now, TimerEvent::DiscoveryWatch);
+        net.timers.arm(now.after(SWEEP), TimerEvent::IdleSweep);
+        net.timers.arm(now, TimerEvent::SilenceCheck);
         if is_operated {
-            net.wheel.arm(now, Due::Gauges);
+            net.timers.arm(now, TimerEvent::UpdateGauges);
         }
         let mut broker = Broker {
             settings,
@@ -304,10 +304,16 @@
     }
 
     /// Waits until anything is ready or due, or until a time, and does it.
-    fn turn(&mut self, ready: &mut Vec<Ready>, due: &mut Vec<Due>, until: Option<Time>) -> io::Result<()> {
+    fn turn(
+        &mut self,
+        ready: &mut Vec<Ready>,
+        due: &mut Vec<TimerEvent>,
+        until: Option<Time>,
+    ) -> io::Result<()> {
         let now = self.net.clock.now();
         let step = self.core.has_news().then(|| self.last_step.after(self.settings.module.tick));
-        let wake = self.net.wheel.next().into_iter().chain(step).chain(self.core.say_at()).chain(until).min();
+        let wake =
+            self.net.timers.next().into_iter().chain(step).chain(self.core.say_at()).chain(until).min();
         let pause = if self.again.is_empty() { wake.map(|at| at.since(now)) } else { Some(Duration::ZERO) };
         self.net.poll.wait(pause, ready)?;
         let now = self.net.clock.now();
@@ -320,7 +326,7 @@
         for report in ready.drain(..) {
             self.ready(now, report.key, report.readable);
         }
-        self.net.wheel.expire(now, due);
+        self.net.timers.expire(now, due);
         for what in due.drain(..) {
             self.due(now, what);
         }
@@ -368,34 +374,38 @@
         }
     }
 
-    fn due(&mut self, now: Time, what: Due) {
+    fn due(&mut self, now: Time, what: TimerEvent) {
         match what {
-            Due::Module(timer) => self.core.timer(timer),
-            Due::Deadline(query) => {
+            TimerEvent::Core(timer) => self.core.timer(timer),
+            TimerEvent::QueryDeadline(query) => {
                 if let Some(command) = self.core.deadline(now, query) {
                     self.carry_out(now, command);
                 }
             }
-            Due::TimeOut(attempt) => self.backend.give_up(now, attempt, Verdict::NoAnswer),
-            Due::Latest(attempt) => self.backend.take_back(now, attempt),
-            Due::Connect(key) => self.backend.connect_time_out(&self.net, key),
-            Due::Stalled(key) => self.backend.stalled(&self.net, now, key),
-            Due::Drained(server) if self.core.is_draining(server) => self.backend.shut(server),
-            Due::Drained(_) => {}
-            Due::Watch if now < self.watch_at => {}
-            Due::Watch => self.tend_watch(now),
-            Due::SilenceCheck => {
-                self.net.wheel.arm(now.after(self.backend.silence_check_interval()), Due::SilenceCheck);
+            TimerEvent::AttemptTimeout(attempt) => self.backend.give_up(now, attempt, Verdict::NoAnswer),
+            TimerEvent::LatestSend(attempt) => self.backend.take_back(now, attempt),
+            TimerEvent::ConnectTimeout(key) => self.backend.connect_time_out(&self.net, key),
+            TimerEvent::ResponseStalled(key) => self.backend.stalled(&self.net, now, key),
+            TimerEvent::DrainGraceExpired(server) if self.core.is_draining(server) => {
+                self.backend.shut(server)
+            }
+            TimerEvent::DrainGraceExpired(_) => {}
+            TimerEvent::DiscoveryWatch if now < self.watch_at => {}
+            TimerEvent::DiscoveryWatch => self.tend_watch(now),
+            TimerEvent::SilenceCheck => {
+                self.net
+                    .timers
+                    .arm(now.after(self.backend.silence_check_interval()), TimerEvent::SilenceCheck);
                 self.backend.end_silent(&mut self.net, now);
             }
-            Due::Sweep => self.sweep(now),
+            TimerEvent::IdleSweep => self.sweep(now),
             // The outcomes come with the gather that follows.
-            Due::Heard => {}
-            Due::DrainRest => self.end_resting(now),
-            Due::Gauges => self.set_gauges(now),
-            Due::StopListening => self.stop_listening(now),
-            Due::StopServing => self.stop_serving(now),
-            Due::EndBy => self.fail_open(now),
+            TimerEvent::CancelsRead => {}
+            TimerEvent::DrainIdleEnd => self.end_resting(now),
+            TimerEvent::UpdateGauges => self.set_gauges(now),
+            TimerEvent::StopListening => self.stop_listening(now),
+            TimerEvent::StopServing => self.stop_serving(now),
+            TimerEvent::ShutdownDeadline => self.fail_open(now),
         }
     }
 
@@ -447,7 +457,7 @@
             }
         }
         let mut due = Vec::new();
-        self.net.wheel.expire(later, &mut due);
+        self.net.timers.expire(later, &mut due);
         for what in due {
             self.due(later, what);
         }
@@ -461,9 +471,9 @@
                 self.core.outcome(now, send.attempt, Verdict::NotSent, None, LoadReport::default());
             }
             Command::Send(send) => {
-                self.net.wheel.arm(send.until, Due::TimeOut(send.attempt));
+                self.net.timers.arm(send.until, TimerEvent::AttemptTimeout(send.attempt));
                 if let Some(latest) = send.latest.filter(|latest| *latest < send.until) {
-                    self.net.wheel.arm(latest, Due::Latest(send.attempt));
+                    self.net.timers.arm(latest, TimerEvent::LatestSend(send.attempt));
                 }
                 self.backend.send(&mut self.net, now, send);
             }
@@ -472,8 +482,8 @@
             Command::CloseIdle(server) => self.backend.close_idle(&self.net, server),
             Command::Probe(server) => self.backend.probe(&mut self.net, now, server),
             Command::Finish(ticket, last) => self.finish(now, ticket, last),
-            Command::Arm(at, timer) => self.net.wheel.arm(at, Due::Module(timer)),
-            Command::ArmDeadline(at, query) => self.net.wheel.arm(at, Due::Deadline(query)),
+            Command::Arm(at, timer) => self.net.timers.arm(at, TimerEvent::Core(timer)),
+            Command::ArmDeadline(at, query) => self.net.timers.arm(at, TimerEvent::QueryDeadline(query)),
             // The watch goes on by itself.
             Command::WatchServers => {}
         }
@@ -481,7 +491,7 @@
 
     fn sweep(&mut self, now: Time) {
         let pause = SWEEP.min(self.settings.connection_idle / SWEEPS).max(self.settings.module.tick);
-        self.net.wheel.arm(now.after(pause), Due::Sweep);
+        self.net.timers.arm(now.after(pause), TimerEvent::IdleSweep);
         self.backend.sweep(&self.net, now);
         match self.inventory.as_mut().map(|inventory| inventory.reread(now)) {
             Some(Ok(Some(list))) => take_list(&mut self.core, &mut self.backend, &list, None),
--- a/src/broker/accept.rs
+++ b/src/broker/accept.rs
@@ -11,7 +11,7 @@
 use crate::interface::Time;
 use crate::net::client::{Client, Liveness, Phase};
 use crate::net::http::Response;
-use crate::net::{ACCEPT_QUEUE, Due, listen};
+use crate::net::{LISTEN_BACKLOG, TimerEvent, listen};
 
 /// A client that has not sent anything for so long after connecting may have to make room for another.
 const SILENT: Duration = Duration::from_millis(100);
@@ -85,7 +85,7 @@
     /// Asks for the next report of each listener.
     pub(super) fn listen_on(&self) {
         for (key, listener) in &self.listeners {
-            let _ = self.net.poll.ask(listener, *key, true, false);
+            let _ = self.net.poll.rearm(listener, *key, true, false);
         }
     }
 
@@ -129,8 +129,8 @@
     pub(super) fn stop_listening(&mut self, now: Time) {
         let more = [LISTEN, OGC_LISTEN].map(|key| self.accept(now, key)).contains(&true);
         self.last_accepts += MAX_ACCEPTS;
-        if more && self.last_accepts < ACCEPT_QUEUE {
-            self.net.wheel.arm(now, Due::StopListening);
+        if more && self.last_accepts < LISTEN_BACKLOG {
+            self.net.timers.arm(now, TimerEvent::StopListening);
             return;
         }
         for (_, listener) in self.listeners.drain(..) {
--- a/src/broker/clients.rs
+++ b/src/broker/clients.rs
@@ -70,7 +70,7 @@
         // A report that was asked for and has not come still will.
         let write = client.wants_write();
         if client.asked_write.replace(write) != Some(write)
-            && self.net.poll.ask(&client.stream, key, true, write).is_err()
+            && self.net.poll.rearm(&client.stream, key, true, write).is_err()
         {
             self.drop_client(key);
         }
--- a/src/broker/discovery.rs
+++ b/src/broker/discovery.rs
@@ -6,7 +6,7 @@
 use crate::core::Core;
 use crate::discovery::{Listing, Phase, Told, Watch, WatchError};
 use crate::interface::{ServerState, Time};
-use crate::net::Due;
+use crate::net::TimerEvent;
 
 /// A server that drains is sent to for this part of the settings' grace, where it was told just now: the rest is left
 /// for what goes on the way and for a busy machine.
@@ -46,7 +46,7 @@
         let Some(watch) = &mut self.watch else { return };
         match (result, watch.stream()) {
             (Ok(()), Some(stream)) => {
-                let _ = self.net.poll.ask(stream, WATCH, true, watch.wants_write());
+                let _ = self.net.poll.rearm(stream, WATCH, true, watch.wants_write());
                 self.arm_watch();
             }
             (Ok(()), None) => {}
@@ -59,7 +59,9 @@
         take_list(&mut self.core, &mut self.backend, list, until);
         let draining = list.members.iter().filter(|(member, _)| member.state == ServerState::Draining);
         for (member, _) in draining {
-            self.net.wheel.arm(until.unwrap_or(now), Due::Drained(self.core.server_id(&member.name)));
+            self.net
+                .timers
+                .arm(until.unwrap_or(now), TimerEvent::DrainGraceExpired(self.core.server_id(&member.name)));
         }
         if let Some(store) = &mut self.store {
             store.note(list);
@@ -92,7 +94,7 @@
         // millisecond would put it off without end.
         let due = watch.due();
         if due != std::mem::replace(&mut self.watch_at, due) {
-            self.net.wheel.arm(due, Due::Watch);
+            self.net.timers.arm(due, TimerEvent::DiscoveryWatch);
         }
     }
 }
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -4,7 +4,7 @@
 
 use super::Broker;
 use crate::interface::Time;
-use crate::net::Due;
+use crate::net::TimerEvent;
 
 /// How often the gauges of servers are set anew: operators may read them half a second late.
 const GAUGES_PAUSE: Duration = Duration::from_millis(200);
@@ -20,7 +20,7 @@
         match self.operations.drain_requested() {
             true if self.lifecycle.drain(now) => {
                 tracing::info!("draining, {} clients, {} open", self.clients.len(), self.core.open());
-                self.net.wheel.arm(self.lifecycle.drain_rests_until, Due::DrainRest);
+                self.net.timers.arm(self.lifecycle.drain_rests_until, TimerEvent::DrainIdleEnd);
             }
             false if self.lifecycle.resume() => tracing::info!("no longer draining"),
             _ => {}
@@ -39,7 +39,7 @@
     pub(super) fn set_gauges(&mut self, now: Time) {
         let (up, draining) = self.core.listed();
         self.operations.statistics().set_servers(up + draining, self.core.avoided().len());
-        self.net.wheel.arm(now.after(GAUGES_PAUSE), Due::Gauges);
+        self.net.timers.arm(now.after(GAUGES_PAUSE), TimerEvent::UpdateGauges);
     }
 
     /// Ends the connections that rest, where a drain's time for them is over.
--- a/src/broker/peers.rs
+++ b/src/broker/peers.rs
@@ -29,6 +29,6 @@
                 Err(_) => break,
             }
         }
-        let _ = self.net.poll.ask(socket, PEERS, true, false);
+        let _ = self.net.poll.rearm(socket, PEERS, true, false);
     }
 }
--- a/src/broker/signals.rs
+++ b/src/broker/signals.rs
@@ -10,7 +10,7 @@
 use super::{Broker, SIGNAL};
 use crate::config::Config;
 use crate::interface::Time;
-use crate::net::Due;
+use crate::net::TimerEvent;
 
 /// Marks that signals leave for the loop.
 #[derive(Default)]
@@ -35,7 +35,7 @@
     pub(super) fn signalled(&mut self, now: Time) {
         // Marks are looked at after the bytes are gone: one that comes in between wakes the loop again.
         let _ = self.signal.read(&mut [0; 16]);
-        let _ = self.net.poll.ask(&self.signal, SIGNAL, true, false);
+        let _ = self.net.poll.rearm(&self.signal, SIGNAL, true, false);
         if self.signal_flags.reload.swap(false, Ordering::SeqCst) {
             self.reload(now);
         }
@@ -85,9 +85,9 @@
         tracing::info!("stopping, {} open", self.core.open());
         self.core.note("stopping");
         let (listens, serves) = (self.lifecycle.listens_until, self.lifecycle.serves_until);
-        self.net.wheel.arm(listens, Due::StopListening);
-        self.net.wheel.arm(serves.max(listens), Due::StopServing);
-        self.net.wheel.arm(self.lifecycle.ends_by, Due::EndBy);
+        self.net.timers.arm(listens, TimerEvent::StopListening);
+        self.net.timers.arm(serves.max(listens), TimerEvent::StopServing);
+        self.net.timers.arm(self.lifecycle.ends_by, TimerEvent::ShutdownDeadline);
     }
 
     /// The broker has no more time: what is open gets its answer now.
--- a/src/upgrade.rs
+++ b/src/upgrade.rs
@@ -207,7 +207,7 @@
                 Err(error) => tracing::warn!("upgrade: {error}"),
             }
         }
-        let _ = net.poll.ask(listener, RENDEZVOUS, true, false);
+        let _ = net.poll.rearm(listener, RENDEZVOUS, true, false);
     }
 
     fn open(stream: UnixStream) -> Result<Channel, ChannelError> {
@@ -259,7 +259,7 @@
 
     fn poll_successor(&self, net: &Net) {
         if let Some(channel) = &self.to_successor {
-            let _ = net.poll.ask(channel.stream(), TO_SUCCESSOR, true, channel.wants_write());
+            let _ = net.poll.rearm(channel.stream(), TO_SUCCESSOR, true, channel.wants_write());
         }
     }
 
@@ -285,7 +285,7 @@
         let Some(channel) = &mut self.to_predecessor else { return PredecessorNews::None };
         match channel.flush().and_then(|()| channel.receive()) {
             Ok(received) => {
-                let _ = net.poll.ask(channel.stream(), TO_PREDECESSOR, true, channel.wants_write());
+                let _ = net.poll.rearm(channel.stream(), TO_PREDECESSOR, true, channel.wants_write());
                 match received.map(|received| received.message) {
                     Some(Message::Spending(spending)) => PredecessorNews::Spending(spending),
                     _ => PredecessorNews::None,
