--- a/crates/control/src/connection.rs
+++ b/crates/control/src/connection.rs
@@ -4,7 +4,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-use badgergauge_net::http::{HttpError, Reader, Response};
+use badgergauge_net::http::{HttpError, RequestReader, Response};
 use badgergauge_net::outbox::Outbox;
 
 use crate::calls::{self, Answered};
@@ -46,7 +46,7 @@
     stream: TcpStream,
     phase: Phase,
     since: Instant,
-    reader: Reader,
+    reader: RequestReader,
     outbox: Outbox,
     /// Whether its caller has ended its side.
     ended: bool,
@@ -55,7 +55,7 @@
 impl Connection {
     /// A connection that was just accepted.
     pub fn new(stream: TcpStream, now: Instant) -> Self {
-        let (reader, outbox) = (Reader::default(), Outbox::default());
+        let (reader, outbox) = (RequestReader::default(), Outbox::default());
         Connection { stream, phase: Phase::Reading, since: now, reader, outbox, ended: false }
     }
 
@@ -131,9 +131,9 @@
         if self.phase != Phase::Reading {
             return false;
         }
-        let call = match self.reader.ready() {
+        let call = match self.reader.has_complete_request() {
             // The rest of it will never come.
-            Ok(false) if self.ended && self.reader.begun() => Err(HttpError::Malformed),
+            Ok(false) if self.ended && self.reader.has_input() => Err(HttpError::Malformed),
             Ok(false) => return false,
             Ok(true) => self.reader.request().map(|request| calls::answer(&request, operations)),
             Err(error) => Err(error),
@@ -142,7 +142,7 @@
             response: Response::text(error.status(), error.to_string()),
             requests_change: false,
         });
-        self.reader = Reader::default();
+        self.reader = RequestReader::default();
         self.outbox.push(answered.response.head(false));
         self.outbox.push(answered.response.body);
         (self.phase, self.since) = (Phase::Writing, now);
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -87,7 +87,7 @@
                 return Err(entry(format!("address: {:?} is no address", endpoint.address)));
             }
             let Endpoint { name, zone, group: cell, since_ms, .. } = endpoint;
-            Ok((Member { name, zone, cell, state, started: clock.at_unix(since_ms) }, address))
+            Ok((Member { name, zone, cell, state, started: clock.from_unix_ms(since_ms) }, address))
         };
         let members = message.endpoints.into_iter().map(member).collect::<Result<_, _>>()?;
         Ok(Listing { index: message.index, whole: message.snapshot, members })
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -5,7 +5,7 @@
 
 use badgergauge_core::interface::Time;
 use badgergauge_net::clock::Clock;
-use badgergauge_net::http::Chunks;
+use badgergauge_net::http::ChunkedDecoder;
 use badgergauge_net::outbox::Outbox;
 
 use crate::list::{ListError, Listing, MAX_LIST, Values};
@@ -63,7 +63,7 @@
     /// Its head is not whole yet.
     Head,
     /// In chunks.
-    Chunked(Chunks),
+    Chunked(ChunkedDecoder),
     /// As it is, up to the connection's end. A list ends with its last brace, so a reset is no end of one.
     Plain,
 }
@@ -223,7 +223,7 @@
             if begun {
                 self.pace.begun(now, !link.stands);
             }
-            if matches!(&link.body, Body::Chunked(chunks) if chunks.done()) {
+            if matches!(&link.body, Body::Chunked(chunks) if chunks.is_done()) {
                 return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
             }
         }
@@ -253,7 +253,7 @@
                     && header.value.eq_ignore_ascii_case(b"chunked")
             });
             self.bytes.drain(..length);
-            self.body = if chunked { Body::Chunked(Chunks::default()) } else { Body::Plain };
+            self.body = if chunked { Body::Chunked(ChunkedDecoder::default()) } else { Body::Plain };
         }
         let mut text = Vec::new();
         match &mut self.body {
@@ -261,7 +261,7 @@
             Body::Plain => text = std::mem::take(&mut self.bytes),
             Body::Chunked(chunks) => {
                 let used = chunks
-                    .take(&self.bytes, &mut text)
+                    .decode(&self.bytes, &mut text)
                     .map_err(|error| WatchError::Answer(format!("the watch's chunks: {error}")))?;
                 self.bytes.drain(..used);
             }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,158 +1,162 @@
-//! A client's connection: requests in, one at a time, and answers out.
+//! A client's HTTP connection: requests are read one at a time and their responses written.
 //!
-//! Where it stands is one [`Phase`], and each change of it is made here, so that what crosses it (the client's end,
-//! bytes behind a request, the broker's own end) is decided in one place: `docs/design/crossings.md`.
+//! The state of a connection is one [`Phase`], and every transition is made in this module, so that
+//! concurrent events (the client's end of stream, bytes behind a request, the broker closing the connection)
+//! are handled in one place: `docs/design/crossings.md`.
 
 use std::io::{self, Read};
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-use super::http::{HttpError, Reader, Request, Response};
+use super::http::{HttpError, Request, RequestReader, Response};
 use super::outbox::Outbox;
 use badgergauge_core::{QueryId, Time};
 
-/// Reads of one turn: a client that sends without a pause must not keep the loop from the others.
-const READS: usize = 4;
-/// So much is read away after the last answer; a client that still sends then gets a reset.
-const LINGER: usize = 256 * 1024;
-/// A client has to end its first request in this time after it has connected, and each other one in this time
-/// after it has begun it. With a sweep's pause that is under the 3 s in which whoever sends nothing of use is to be
-/// told.
-const REQUEST_TIME: Duration = Duration::from_secs(2);
-/// So long a connection may rest between an answer and the next request.
-const KEEP_ALIVE: Duration = Duration::from_secs(4);
-/// After the broker's end of a connection its client has so long for its own.
-const LINGER_TIME: Duration = Duration::from_secs(2);
-
-/// Where a connection stands.
+/// Reads per turn of the event loop, so that a client that sends without a pause can't starve the others.
+const MAX_READS_PER_TURN: usize = 4;
+/// Bytes that are discarded after the last response; a client that sends more gets its connection reset.
+const MAX_LINGER_BYTES: usize = 256 * 1024;
+/// Time to complete a request: the first counts from the accept, each later one from its first byte. Together
+/// with the interval of the idle sweep this stays under the 3 s within which a client that sends nothing
+/// useful has to be answered.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a connection may stay idle between a response and the next request.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long the client may take to close its side after the broker has closed its own.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The state of a connection.
 #[derive(Debug)]
 pub enum Phase<P> {
-    /// Nothing of a request is in: since its answer before, or since it was accepted.
+    /// No part of a request has been received since the accept or the last response.
     Idle {
-        /// Whether no request has ever come whole.
-        fresh: bool,
+        /// Whether no complete request has been received on this connection yet.
+        first: bool,
     },
-    /// A request is coming in.
+    /// Part of a request has been received.
     Reading {
-        /// Whether it is the first.
-        fresh: bool,
+        /// Whether it is the first on this connection.
+        first: bool,
     },
-    /// A query is open, with what the front keeps for its answer.
+    /// A query is open; holds what the front end needs to build its response.
     Waiting(QueryId, P),
-    /// An answer is being written.
-    Answering {
-        /// Whether the connection ends with it.
-        last: bool,
+    /// A response is being written.
+    Responding {
+        /// Whether the connection closes after it.
+        close: bool,
     },
-    /// This side has ended (half-close): what still comes is read away until the client ends its own, as a close
-    /// over bytes that nobody has read would reset the connection, and the last answer might be lost with it.
+    /// The broker has shut down its sending side (half-close). Input is read and discarded until the client
+    /// closes its side: closing a socket with unread input resets the connection, and the last response could
+    /// be lost.
     Lingering,
 }
 
-/// A connection, with what is open on it.
+/// A client connection with its buffers and the request it is working on.
 pub struct Client<P> {
     /// The socket.
     pub stream: TcpStream,
-    /// Where it was accepted: the key of the listener.
+    /// The key of the listener that accepted it.
     pub listener: usize,
-    /// Memory that it was last found to hold.
-    pub charged: usize,
-    /// Whether the report that the poller was last asked for is one of writability too; nothing once it has come.
-    pub asked_write: Option<bool>,
+    /// Bytes of its buffers that the broker's memory accounting includes at present.
+    pub accounted_bytes: usize,
+    /// Whether the poller was last asked to report writability as well; `None` once that report has been
+    /// delivered.
+    pub write_interest: Option<bool>,
     phase: Phase<P>,
-    /// When it came to stand so; while an answer is written, when the client last took any of it.
-    since: Time,
-    /// When it was accepted.
-    accepted: Time,
-    /// When the request that is coming in, or was taken last, began.
-    begun: Time,
-    reader: Reader,
-    /// Whether all that had come was read when it was last looked at. A request is taken only then: its client's end
-    /// may lie behind it.
+    /// When the phase was entered; while a response is written, when the client last accepted any of it.
+    phase_since: Time,
+    accepted_at: Time,
+    /// When the request being received, or the last one consumed, began.
+    request_started_at: Time,
+    reader: RequestReader,
+    /// Whether the last read emptied the socket. A request is processed only then, because the client's end
+    /// of stream may follow it.
     drained: bool,
-    /// More than a buffer holds came behind a request: it was read away, so nothing behind it can be told apart.
+    /// More input than a buffer holds followed a request. It was discarded, so later requests can't be
+    /// delimited.
     overrun: bool,
-    /// Whether the request that was taken last allows another after it.
+    /// Whether the last consumed request allows another one on this connection.
     keep_alive: bool,
     outbox: Outbox,
-    /// What was read away since this side has ended.
-    lingered: usize,
+    /// Bytes discarded since the half-close.
+    lingered_bytes: usize,
 }
 
-/// What became of a connection.
+/// Whether a connection can still be used after an operation on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Liveness {
-    /// It goes on.
+pub enum ConnectionState {
+    /// It is usable.
     Open,
-    /// It is over.
-    Over,
+    /// It has failed, or was closed by the client: the caller drops it.
+    Closed,
 }
 
-/// Whether a request is in.
+/// Whether a complete request can be processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whole {
-    /// None is, or one is open.
-    No,
-    /// One is, and more than one turn reads came with it: it is taken once that is read, as its client's end may lie
-    /// behind it.
-    Unread,
-    /// One is, and may be taken.
-    Yes,
+pub enum RequestStatus {
+    /// No complete request has been received, or one is in progress already.
+    Incomplete,
+    /// A request is complete, but the socket may hold more input than one turn reads. It is processed after
+    /// that input has been read, as the client's end of stream may follow it.
+    InputUnread,
+    /// A complete request can be processed.
+    Ready,
 }
 
-/// What the time that a connection has stood as it does asks for.
+/// What to do with a connection whose phase has timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Expired {
-    /// It has rested for long: this side ends it, by [`Client::end`].
-    Rest,
-    /// The request that is coming in has to be told that it is late.
-    Request,
-    /// It is to be dropped: its client takes no answer, or does not end.
-    Gone,
+pub enum TimeoutAction {
+    /// It was idle for too long: close it with [`Client::half_close`].
+    CloseIdle,
+    /// Its request did not complete in time: answer with an error.
+    RejectRequest,
+    /// Its client does not read the response or does not close its side: drop it.
+    Drop,
 }
 
 impl<P> Client<P> {
-    /// A connection that was just accepted, with the poller asked to report what comes on it.
+    /// A connection that was just accepted and is registered with the poller for reading.
     pub fn new(stream: TcpStream, listener: usize, now: Time) -> Self {
         Client {
             stream,
             listener,
-            charged: 0,
-            asked_write: Some(false),
-            phase: Phase::Idle { fresh: true },
-            since: now,
-            accepted: now,
-            begun: now,
-            reader: Reader::default(),
+            accounted_bytes: 0,
+            write_interest: Some(false),
+            phase: Phase::Idle { first: true },
+            phase_since: now,
+            accepted_at: now,
+            request_started_at: now,
+            reader: RequestReader::default(),
             drained: false,
             overrun: false,
             keep_alive: true,
             outbox: Outbox::default(),
-            lingered: 0,
+            lingered_bytes: 0,
         }
     }
 
-    /// Where it stands.
+    /// The current phase.
     pub fn phase(&self) -> &Phase<P> {
         &self.phase
     }
 
-    /// Since when it stands so.
-    pub fn since(&self) -> Time {
-        self.since
+    /// When the current phase was entered; while a response is written, when the client last accepted any of
+    /// it.
+    pub fn phase_since(&self) -> Time {
+        self.phase_since
     }
 
-    /// When it was accepted.
-    pub fn accepted(&self) -> Time {
-        self.accepted
+    /// When the connection was accepted.
+    pub fn accepted_at(&self) -> Time {
+        self.accepted_at
     }
 
-    /// When the request that was taken last began.
-    pub fn begun(&self) -> Time {
-        self.begun
+    /// When the first byte of the last consumed request was received.
+    pub fn request_started_at(&self) -> Time {
+        self.request_started_at
     }
 
-    /// The query that it waits for.
+    /// The open query, if there is one.
     pub fn query(&self) -> Option<QueryId> {
         match &self.phase {
             Phase::Waiting(query, _) => Some(*query),
@@ -160,94 +164,95 @@
         }
     }
 
-    /// Whether it stands between two requests.
+    /// Whether the connection is between two requests.
     pub fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Idle { .. })
     }
 
-    /// Whether anything is owed to it: an answer, the rest of one, or one to the request that is coming in.
-    pub fn is_owed(&self) -> bool {
+    /// Whether a response, or the rest of one, is still to be sent, including one to a partly received
+    /// request.
+    pub fn has_pending_response(&self) -> bool {
         !matches!(self.phase, Phase::Idle { .. } | Phase::Lingering)
     }
 
-    /// Whether anything waits to be written.
+    /// Whether there is output to write.
     pub fn wants_write(&self) -> bool {
         !self.outbox.is_empty()
     }
 
-    /// Memory that its buffers hold.
-    pub fn held(&self) -> usize {
-        self.reader.held() + self.outbox.held()
+    /// Memory of its buffers, in bytes.
+    pub fn buffer_bytes(&self) -> usize {
+        self.reader.buffer_bytes() + self.outbox.pending_bytes()
     }
 
-    /// Whether what is in of its request is more than an ordinary one.
-    pub fn is_greedy(&self, modest: usize) -> bool {
-        matches!(self.phase, Phase::Reading { .. }) && self.reader.held() > modest
+    /// Whether a request is being received whose buffers already exceed `limit` bytes.
+    pub fn has_oversized_request(&self, limit: usize) -> bool {
+        matches!(self.phase, Phase::Reading { .. }) && self.reader.buffer_bytes() > limit
     }
 
     fn enter(&mut self, now: Time, phase: Phase<P>) {
-        (self.phase, self.since) = (phase, now);
+        (self.phase, self.phase_since) = (phase, now);
     }
 
-    /// Reads what is there, or as much of it as one turn allows; the rest is reported again. It is read in each
-    /// phase, as the client's end lies behind it.
-    pub fn read(&mut self, now: Time) -> Liveness {
+    /// Reads the available input, up to the limit of one turn; the poller reports the rest again. Input is
+    /// read in every phase, as the client's end of stream is only seen after it.
+    pub fn read(&mut self, now: Time) -> ConnectionState {
         let mut buffer = [0; 8 * 1024];
         self.drained = false;
-        for _ in 0..READS {
+        for _ in 0..MAX_READS_PER_TURN {
             match self.stream.read(&mut buffer) {
-                Ok(0) => return Liveness::Over,
+                Ok(0) => return ConnectionState::Closed,
                 Ok(read) if matches!(self.phase, Phase::Lingering) => {
-                    self.lingered += read;
-                    if self.lingered > LINGER {
-                        return Liveness::Over;
+                    self.lingered_bytes += read;
+                    if self.lingered_bytes > MAX_LINGER_BYTES {
+                        return ConnectionState::Closed;
                     }
                 }
-                Ok(_) if self.reader.full() => self.overrun = true,
+                Ok(_) if self.reader.is_full() => self.overrun = true,
                 Ok(read) => self.push(now, &buffer[..read]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     self.drained = true;
-                    return Liveness::Open;
+                    return ConnectionState::Open;
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Liveness::Over,
+                Err(_) => return ConnectionState::Closed,
             }
         }
-        Liveness::Open
+        ConnectionState::Open
     }
 
     fn push(&mut self, now: Time, bytes: &[u8]) {
-        // One that comes while the one before is open began then, and not when it is looked at.
-        if !self.reader.begun() {
-            self.begun = now;
+        // A request that arrives while the previous one is in progress starts now, not when it is processed.
+        if !self.reader.has_input() {
+            self.request_started_at = now;
         }
         self.reader.push(bytes);
-        if let Phase::Idle { fresh } = self.phase {
-            // The first one has its time from the connection's own beginning.
-            self.enter(if fresh { self.accepted } else { now }, Phase::Reading { fresh });
+        if let Phase::Idle { first } = self.phase {
+            // The timeout of the first request counts from the accept.
+            self.enter(if first { self.accepted_at } else { now }, Phase::Reading { first });
         }
     }
 
-    /// Whether a request may be taken: one at a time.
+    /// Whether a request can be processed. There is one in progress per connection at a time.
     ///
     /// # Errors
     ///
-    /// When what is in can't become one.
-    pub fn has_request(&mut self) -> Result<Whole, HttpError> {
-        let Phase::Reading { fresh } = self.phase else { return Ok(Whole::No) };
-        let whole = self.reader.ready()?;
-        // Empty lines before a request are none.
-        if !whole && !self.reader.begun() {
-            self.enter(self.since, Phase::Idle { fresh });
+    /// When the input is not a valid request or exceeds a limit.
+    pub fn request_status(&mut self) -> Result<RequestStatus, HttpError> {
+        let Phase::Reading { first } = self.phase else { return Ok(RequestStatus::Incomplete) };
+        let complete = self.reader.has_complete_request()?;
+        // Only empty lines were received, which don't start a request.
+        if !complete && !self.reader.has_input() {
+            self.enter(self.phase_since, Phase::Idle { first });
         }
-        Ok(match (whole, self.drained) {
-            (false, _) => Whole::No,
-            (true, false) => Whole::Unread,
-            (true, true) => Whole::Yes,
+        Ok(match (complete, self.drained) {
+            (false, _) => RequestStatus::Incomplete,
+            (true, false) => RequestStatus::InputUnread,
+            (true, true) => RequestStatus::Ready,
         })
     }
 
-    /// The request that is whole.
+    /// The complete request.
     ///
     /// # Errors
     ///
@@ -256,86 +261,94 @@
         self.reader.request()
     }
 
-    /// Lets go of the request that is whole, and keeps what came after it.
-    pub fn took(&mut self, keep_alive: bool) {
-        self.reader.next();
+    /// Removes the complete request from the buffer and keeps the input behind it. `keep_alive` is whether
+    /// the request allows another one on this connection.
+    pub fn consume_request(&mut self, keep_alive: bool) {
+        self.reader.consume_request();
         self.keep_alive = keep_alive;
     }
 
-    /// The request that was taken is a query, which is open from now on.
-    pub fn wait(&mut self, now: Time, query: QueryId, pending: P) {
+    /// Records that the consumed request opened a query; `pending` is returned by [`Client::finish_query`].
+    pub fn start_query(&mut self, now: Time, query: QueryId, pending: P) {
         self.enter(now, Phase::Waiting(query, pending));
     }
 
-    /// The query is over: what was kept for its answer, which follows. Nothing where none was open.
-    pub fn finish(&mut self, now: Time) -> Option<P> {
+    /// Ends the open query and returns what was kept for its response, which the caller queues next; `None`
+    /// if no query is open.
+    pub fn finish_query(&mut self, now: Time) -> Option<P> {
         if !matches!(self.phase, Phase::Waiting(..)) {
             return None;
         }
-        match std::mem::replace(&mut self.phase, Phase::Answering { last: false }) {
+        match std::mem::replace(&mut self.phase, Phase::Responding { close: false }) {
             Phase::Waiting(_, pending) => {
-                self.since = now;
+                self.phase_since = now;
                 Some(pending)
             }
             _ => None,
         }
     }
 
-    /// Queues an answer. The connection ends with it unless it may stay open on both sides.
-    pub fn answer(&mut self, now: Time, response: Response, stay: bool) {
-        let last = !(stay && self.keep_alive && !self.overrun);
-        self.outbox.push(response.head(!last));
+    /// Queues a response. The connection closes after it unless both `keep_open` and the request allow it to
+    /// stay open.
+    pub fn queue_response(&mut self, now: Time, response: Response, keep_open: bool) {
+        let close = !(keep_open && self.keep_alive && !self.overrun);
+        self.outbox.push(response.head(!close));
         self.outbox.push(response.body);
-        if last {
-            self.reader = Reader::default();
+        if close {
+            self.reader = RequestReader::default();
         }
-        self.enter(now, Phase::Answering { last });
+        self.enter(now, Phase::Responding { close });
     }
 
-    /// Writes what the socket takes. Behind an answer after which the connection ends goes its end, in this
-    /// direction alone.
-    pub fn write(&mut self, now: Time) -> Liveness {
-        let Phase::Answering { last } = self.phase else { return Liveness::Open };
-        let before = self.outbox.held();
+    /// Writes as much as the socket accepts. After a response that closes the connection the sending side is
+    /// shut down.
+    pub fn write(&mut self, now: Time) -> ConnectionState {
+        let Phase::Responding { close } = self.phase else { return ConnectionState::Open };
+        let before = self.outbox.pending_bytes();
         match self.outbox.flush(&mut self.stream) {
-            Err(_) => return Liveness::Over,
+            Err(_) => return ConnectionState::Closed,
             Ok(false) => {
-                if self.outbox.held() < before {
-                    self.since = now;
+                if self.outbox.pending_bytes() < before {
+                    self.phase_since = now;
                 }
-                return Liveness::Open;
+                return ConnectionState::Open;
             }
             Ok(true) => {}
         }
-        if last {
-            return self.end(now);
+        if close {
+            return self.half_close(now);
         }
-        let begun = self.reader.begun();
-        self.enter(now, if begun { Phase::Reading { fresh: false } } else { Phase::Idle { fresh: false } });
-        Liveness::Open
+        let has_input = self.reader.has_input();
+        self.enter(
+            now,
+            if has_input { Phase::Reading { first: false } } else { Phase::Idle { first: false } },
+        );
+        ConnectionState::Open
     }
 
-    /// Ends this side. What the client sends from here on is never taken: it has met the end, and asks elsewhere.
-    pub fn end(&mut self, now: Time) -> Liveness {
-        self.reader = Reader::default();
+    /// Shuts down the sending side. Requests that arrive from here on are discarded: the client sees the end
+    /// of stream and can retry on another connection.
+    pub fn half_close(&mut self, now: Time) -> ConnectionState {
+        self.reader = RequestReader::default();
         self.enter(now, Phase::Lingering);
         match self.stream.shutdown(Shutdown::Write) {
-            Ok(()) => Liveness::Open,
-            Err(_) => Liveness::Over,
+            Ok(()) => ConnectionState::Open,
+            Err(_) => ConnectionState::Closed,
         }
     }
 
-    /// What its time asks for, if it is over. A client that takes nothing of its answer for `patience` has gone.
-    pub fn expired(&self, now: Time, patience: Duration) -> Option<Expired> {
-        let (limit, then) = match self.phase {
-            Phase::Idle { fresh: true } => (REQUEST_TIME, Expired::Rest),
-            Phase::Idle { fresh: false } => (KEEP_ALIVE, Expired::Rest),
-            Phase::Reading { .. } => (REQUEST_TIME, Expired::Request),
+    /// The action to take if the current phase has timed out. `write_timeout` is how long a client may accept
+    /// nothing of its response.
+    pub fn timeout_action(&self, now: Time, write_timeout: Duration) -> Option<TimeoutAction> {
+        let (limit, action) = match self.phase {
+            Phase::Idle { first: true } => (REQUEST_TIMEOUT, TimeoutAction::CloseIdle),
+            Phase::Idle { first: false } => (KEEP_ALIVE_TIMEOUT, TimeoutAction::CloseIdle),
+            Phase::Reading { .. } => (REQUEST_TIMEOUT, TimeoutAction::RejectRequest),
             Phase::Waiting(..) => return None,
-            Phase::Answering { .. } => (patience, Expired::Gone),
-            Phase::Lingering => (LINGER_TIME, Expired::Gone),
+            Phase::Responding { .. } => (write_timeout, TimeoutAction::Drop),
+            Phase::Lingering => (LINGER_TIMEOUT, TimeoutAction::Drop),
         };
-        (now.since(self.since) >= limit).then_some(then)
+        (now.since(self.phase_since) >= limit).then_some(action)
     }
 }
 
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,38 +1,39 @@
-//! HTTP/1.1 on the wire: heads parsed in place, bodies by length or in chunks, answers as gathered writes.
+//! HTTP/1.1 messages: requests are parsed in place, bodies delimited by length or in chunks; a response's
+//! head and body are separate buffers for a vectored write.
 
 use std::fmt;
 
-/// Longest head that is read.
-pub const MAX_HEAD: usize = 16 * 1024;
-/// Longest body that is taken.
-pub const MAX_BODY: usize = 64 * 1024;
-/// What a connection's buffer keeps between requests.
-const KEPT_BUFFER: usize = 2 * 1024;
+/// Longest accepted request head, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Longest accepted request body, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Capacity that a connection's buffer keeps between requests, in bytes.
+const IDLE_BUFFER_BYTES: usize = 2 * 1024;
 const MAX_HEADERS: usize = 64;
-/// Longest line with the size of a chunk, and longest trailer line.
-const MAX_CHUNK_LINE: usize = 1024;
+/// Longest chunk-size line and trailer line, in bytes.
+const MAX_CHUNK_LINE_BYTES: usize = 1024;
 
-/// Why a message can't be read.
+/// Why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
-    /// It is not HTTP/1.1.
+    /// It is not a valid HTTP/1.1 message.
     Malformed,
-    /// Its head is too long.
+    /// Its head exceeds [`MAX_HEAD_BYTES`] or has too many headers.
     HeadTooLong,
-    /// Its body is too long.
+    /// Its body exceeds [`MAX_BODY_BYTES`].
     BodyTooLong,
-    /// Its body is framed in a way that is not spoken here.
-    UnknownFraming,
+    /// Its transfer coding is not supported.
+    UnsupportedTransferCoding,
 }
 
 impl HttpError {
-    /// The status that tells the client.
+    /// The HTTP status code of the response.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed => 400,
             HttpError::HeadTooLong => 431,
             HttpError::BodyTooLong => 413,
-            HttpError::UnknownFraming => 501,
+            HttpError::UnsupportedTransferCoding => 501,
         }
     }
 }
@@ -43,39 +44,39 @@
             HttpError::Malformed => "malformed message",
             HttpError::HeadTooLong => "head too long",
             HttpError::BodyTooLong => "body too long",
-            HttpError::UnknownFraming => "unknown transfer coding",
+            HttpError::UnsupportedTransferCoding => "unknown transfer coding",
         })
     }
 }
 
 impl std::error::Error for HttpError {}
 
-/// A request, borrowed from the bytes it came in.
+/// A request that borrows from the connection's buffer.
 #[derive(Debug)]
 pub struct Request<'a> {
-    /// Its method.
+    /// The method.
     pub method: &'a str,
-    /// Its target, path and query.
+    /// The request target: path and query.
     pub target: &'a str,
-    /// Its headers.
+    /// The headers: name and value.
     pub headers: Vec<(&'a str, &'a [u8])>,
-    /// Its body.
+    /// The body, decoded.
     pub body: &'a [u8],
-    /// Whether the connection may be kept after it.
+    /// Whether the client allows another request on the connection.
     pub keep_alive: bool,
 }
 
 impl Request<'_> {
-    /// The first header of this name, if it is text.
+    /// The value of the first header of this name without surrounding white space, if it is UTF-8.
     pub fn header(&self, name: &str) -> Option<&str> {
         let (_, value) = self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(value).ok().map(str::trim)
     }
 }
 
-/// Takes the chunks of a body apart, in whatever pieces they come.
+/// Incremental decoder of a chunked body.
 #[derive(Debug, Default)]
-pub struct Chunks {
+pub struct ChunkedDecoder {
     state: ChunkState,
     line: Vec<u8>,
 }
@@ -90,46 +91,47 @@
     Done,
 }
 
-impl Chunks {
-    /// Takes bytes, appends what they hold of the body, and gives how many were used.
+impl ChunkedDecoder {
+    /// Decodes bytes, appends their content to `body` and returns how many were consumed.
     ///
     /// # Errors
     ///
-    /// When they are not chunks.
-    pub fn take(&mut self, bytes: &[u8], body: &mut Vec<u8>) -> Result<usize, HttpError> {
+    /// When the chunked coding is malformed.
+    pub fn decode(&mut self, bytes: &[u8], body: &mut Vec<u8>) -> Result<usize, HttpError> {
         let mut at = 0;
         while at < bytes.len() && self.state != ChunkState::Done {
             if let ChunkState::Data(left) = self.state {
-                let taken = left.min(bytes.len() - at);
-                body.extend_from_slice(&bytes[at..at + taken]);
-                at += taken;
-                self.state = if taken == left { ChunkState::DataEnd } else { ChunkState::Data(left - taken) };
+                let copied = left.min(bytes.len() - at);
+                body.extend_from_slice(&bytes[at..at + copied]);
+                at += copied;
+                self.state =
+                    if copied == left { ChunkState::DataEnd } else { ChunkState::Data(left - copied) };
                 continue;
             }
             let rest = &bytes[at..];
             let end = rest.iter().position(|&b| b == b'\n');
             self.line.extend_from_slice(&rest[..end.unwrap_or(rest.len())]);
             at += end.map_or(rest.len(), |end| end + 1);
-            if self.line.len() > MAX_CHUNK_LINE {
+            if self.line.len() > MAX_CHUNK_LINE_BYTES {
                 return Err(HttpError::Malformed);
             }
             if end.is_some() {
                 let line = std::mem::take(&mut self.line);
-                self.line_ends(line.strip_suffix(b"\r").unwrap_or(&line))?;
+                self.end_line(line.strip_suffix(b"\r").unwrap_or(&line))?;
             }
         }
         Ok(at)
     }
 
-    fn line_ends(&mut self, line: &[u8]) -> Result<(), HttpError> {
+    fn end_line(&mut self, line: &[u8]) -> Result<(), HttpError> {
         self.state = match self.state {
             ChunkState::Size => {
                 let text = std::str::from_utf8(line).map_err(|_| HttpError::Malformed)?;
                 let digits = text.split(';').next().unwrap_or("").trim();
-                let plain = digits.bytes().all(|b| b.is_ascii_hexdigit());
+                let only_digits = digits.bytes().all(|b| b.is_ascii_hexdigit());
                 match usize::from_str_radix(digits, 16) {
-                    Ok(0) if plain => ChunkState::Trailer,
-                    Ok(size) if plain => ChunkState::Data(size),
+                    Ok(0) if only_digits => ChunkState::Trailer,
+                    Ok(size) if only_digits => ChunkState::Data(size),
                     _ => return Err(HttpError::Malformed),
                 }
             }
@@ -141,91 +143,103 @@
         Ok(())
     }
 
-    /// Whether the last chunk has come.
-    pub fn done(&self) -> bool {
+    /// Whether the last chunk and the trailer have been decoded.
+    pub fn is_done(&self) -> bool {
         self.state == ChunkState::Done
     }
 }
 
+/// How the end of a body is found.
 #[derive(Debug)]
 enum Framing {
     Length(usize),
-    Chunked(Chunks),
+    Chunked(ChunkedDecoder),
 }
 
-/// Reads the requests of one connection, one after another, from bytes in any pieces.
+/// A complete request head.
+#[derive(Debug)]
+struct Head {
+    /// Its length, in bytes.
+    length: usize,
+    /// The framing of the body behind it.
+    framing: Framing,
+}
+
+/// Incremental parser of the consecutive requests of one connection.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct RequestReader {
     bytes: Vec<u8>,
-    /// How far the end of the head has been looked for, or how much has come in chunks.
-    seen: usize,
-    /// Length of the head and framing of the body, once known.
-    head: Option<(usize, Framing)>,
-    /// What came in chunks.
+    /// Until the head is complete, how far `bytes` has been searched for its end; then the head's length plus
+    /// the bytes of the chunked body consumed so far.
+    scanned: usize,
+    /// The request's head, once it is complete.
+    head: Option<Head>,
+    /// The decoded content of a chunked body.
     body: Vec<u8>,
 }
 
-impl Reader {
-    /// Takes bytes from the connection.
+impl RequestReader {
+    /// Appends input from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Whether part of a request is in.
-    pub fn begun(&self) -> bool {
+    /// Whether any input has been received that is not consumed.
+    pub fn has_input(&self) -> bool {
         !self.bytes.is_empty()
     }
 
-    /// Memory that it holds.
-    pub fn held(&self) -> usize {
+    /// Memory of the buffers, in bytes.
+    pub fn buffer_bytes(&self) -> usize {
         self.bytes.capacity() + self.body.capacity()
     }
 
-    /// Whether so much is in that reading on can wait until it is used.
-    pub fn full(&self) -> bool {
-        self.bytes.len() > MAX_HEAD + MAX_BODY
+    /// Whether the buffer holds more than the longest request, so that no more input is needed before it is
+    /// consumed.
+    pub fn is_full(&self) -> bool {
+        self.bytes.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES
     }
 
-    /// Whether a request is whole.
+    /// Parses the new input and returns whether a complete request is available.
     ///
     /// # Errors
     ///
-    /// When what is in can't become one.
-    pub fn ready(&mut self) -> Result<bool, HttpError> {
+    /// When the input is not a valid request or exceeds a limit.
+    pub fn has_complete_request(&mut self) -> Result<bool, HttpError> {
         if self.head.is_none() && !self.find_head()? {
             return Ok(false);
         }
-        let Some((head, framing)) = &mut self.head else { return Ok(false) };
-        match framing {
-            Framing::Length(length) => Ok(self.bytes.len() >= *head + *length),
+        let Some(head) = &mut self.head else { return Ok(false) };
+        match &mut head.framing {
+            Framing::Length(length) => Ok(self.bytes.len() >= head.length + *length),
             Framing::Chunked(chunks) => {
-                // What is taken is dropped: buffers stay bounded however small the chunks are.
-                let used = chunks.take(&self.bytes[*head..], &mut self.body)?;
-                self.bytes.drain(*head..*head + used);
-                self.seen += used;
-                if self.body.len() > MAX_BODY || self.seen > 8 * MAX_BODY {
+                // Consumed bytes are removed, which bounds the buffer however small the chunks are.
+                let used = chunks.decode(&self.bytes[head.length..], &mut self.body)?;
+                self.bytes.drain(head.length..head.length + used);
+                self.scanned += used;
+                if self.body.len() > MAX_BODY_BYTES || self.scanned > 8 * MAX_BODY_BYTES {
                     return Err(HttpError::BodyTooLong);
                 }
-                Ok(chunks.done())
+                Ok(chunks.is_done())
             }
         }
     }
 
-    /// Looks for the head's end, going on where it last stopped.
+    /// Searches for the end of the head from where the last search stopped, and parses it.
     fn find_head(&mut self) -> Result<bool, HttpError> {
-        // Empty lines before a request are passed over, as RFC 9112 asks.
-        if self.seen == 0 {
+        // Empty lines before a request are skipped, as RFC 9112 asks.
+        if self.scanned == 0 {
             let blank = self.bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
             self.bytes.drain(..blank);
         }
-        let from = self.seen.saturating_sub(3);
+        let from = self.scanned.saturating_sub(3);
         let ends = |at: &usize| {
             let rest = &self.bytes[*at..];
             rest.starts_with(b"\n\r\n") || rest.starts_with(b"\n\n")
         };
         let found = (from..self.bytes.len()).find(ends);
-        self.seen = self.bytes.len();
-        if found.unwrap_or(self.seen) > MAX_HEAD {
+        self.scanned = self.bytes.len();
+        if found.unwrap_or(self.scanned) > MAX_HEAD_BYTES {
             return Err(HttpError::HeadTooLong);
         }
         if found.is_none() {
@@ -233,12 +247,12 @@
         }
         let (length, request) = parse(&self.bytes)?;
         let framing = framing(&request)?;
-        self.seen = length;
-        self.head = Some((length, framing));
+        self.scanned = length;
+        self.head = Some(Head { length, framing });
         Ok(true)
     }
 
-    /// The request that is whole.
+    /// The complete request.
     ///
     /// # Errors
     ///
@@ -246,28 +260,29 @@
     pub fn request(&self) -> Result<Request<'_>, HttpError> {
         let (_, mut request) = parse(&self.bytes)?;
         request.body = match self.head.as_ref().ok_or(HttpError::Malformed)? {
-            (head, Framing::Length(length)) => {
+            Head { length: head, framing: Framing::Length(length) } => {
                 self.bytes.get(*head..head + length).ok_or(HttpError::Malformed)?
             }
-            (_, Framing::Chunked(_)) => &self.body,
+            Head { framing: Framing::Chunked(_), .. } => &self.body,
         };
         Ok(request)
     }
 
-    /// Lets go of the request that is whole, and keeps what came after it.
-    pub fn next(&mut self) {
+    /// Removes the complete request and keeps the input behind it.
+    pub fn consume_request(&mut self) {
         let used = match self.head.take() {
-            Some((head, Framing::Length(length))) => head + length,
-            Some((head, Framing::Chunked(_))) => head,
+            Some(Head { length: head, framing: Framing::Length(length) }) => head + length,
+            Some(Head { length: head, framing: Framing::Chunked(_) }) => head,
             None => 0,
         };
         self.bytes.drain(..used.min(self.bytes.len()));
-        self.bytes.shrink_to(KEPT_BUFFER);
+        self.bytes.shrink_to(IDLE_BUFFER_BYTES);
         self.body = Vec::new();
-        self.seen = 0;
+        self.scanned = 0;
     }
 }
 
+/// Parses a complete head; returns its length and the request without its body.
 fn parse(bytes: &[u8]) -> Result<(usize, Request<'_>), HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
@@ -282,24 +297,24 @@
     let headers: Vec<(&str, &[u8])> = parsed.headers.iter().map(|h| (h.name, h.value)).collect();
     let mut request = Request { method, target, headers, body: &[], keep_alive: true };
     let connection = request.header("connection").unwrap_or("").to_ascii_lowercase();
-    let says = |word: &str| connection.split(',').any(|w| w.trim() == word);
-    request.keep_alive = if version == 0 { says("keep-alive") } else { !says("close") };
+    let has_option = |word: &str| connection.split(',').any(|w| w.trim() == word);
+    request.keep_alive = if version == 0 { has_option("keep-alive") } else { !has_option("close") };
     Ok((length, request))
 }
 
 fn framing(request: &Request<'_>) -> Result<Framing, HttpError> {
-    let named = |name: &'static str| {
+    let values = |name: &'static str| {
         request.headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| *v)
     };
-    let codings: Vec<&[u8]> = named("transfer-encoding").collect();
-    let mut lengths = named("content-length");
+    let codings: Vec<&[u8]> = values("transfer-encoding").collect();
+    let mut lengths = values("content-length");
     match (codings.as_slice(), lengths.next()) {
-        // Both could be read in two ways, which is how requests are smuggled.
+        // Accepting both allows two readings of one message, and with them request smuggling.
         ([_, ..], Some(_)) => Err(HttpError::Malformed),
         ([coding], None) if coding.trim_ascii().eq_ignore_ascii_case(b"chunked") => {
-            Ok(Framing::Chunked(Chunks::default()))
+            Ok(Framing::Chunked(ChunkedDecoder::default()))
         }
-        ([_, ..], None) => Err(HttpError::UnknownFraming),
+        ([_, ..], None) => Err(HttpError::UnsupportedTransferCoding),
         ([], None) => Ok(Framing::Length(0)),
         ([], Some(length)) => {
             let text = std::str::from_utf8(length).map_err(|_| HttpError::Malformed)?.trim();
@@ -307,39 +322,39 @@
                 return Err(HttpError::Malformed);
             }
             match text.parse() {
-                Ok(length) if length <= MAX_BODY => Ok(Framing::Length(length)),
+                Ok(length) if length <= MAX_BODY_BYTES => Ok(Framing::Length(length)),
                 _ => Err(HttpError::BodyTooLong),
             }
         }
     }
 }
 
-/// An answer to a request.
+/// A response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// The type of its body.
+    /// The value of `Content-Type`.
     pub content_type: &'static str,
-    /// Its further headers.
+    /// Further headers: name and value.
     pub headers: Vec<(&'static str, String)>,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// An answer of plain text.
+    /// A plain-text response; a line feed is appended.
     pub fn text(status: u16, text: impl Into<String>) -> Self {
         let body = (text.into() + "\n").into_bytes();
         Response { status, content_type: "text/plain; charset=utf-8", headers: Vec::new(), body }
     }
 
-    /// Its head; the body is written behind it, unjoined.
+    /// The encoded status line and headers. The body is queued separately, without copying it.
     pub fn head(&self, keep_alive: bool) -> Vec<u8> {
         let mut head = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
             self.status,
-            reason(self.status),
+            reason_phrase(self.status),
             self.content_type,
             self.body.len()
         );
@@ -351,7 +366,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,4 @@
-//! Sockets, time and signals: the poller, the timer wheel, HTTP connections and the way out.
+//! Event loop building blocks: poller, timers, clock, HTTP connections and output buffers.
 #![deny(unsafe_code)]
 
 pub mod client;
@@ -17,44 +17,45 @@
 use badgergauge_core::core::AttemptId;
 use badgergauge_core::{QueryId, ServerId, TimerId};
 
-/// What falls due on the wheel.
+/// What a timer of the event loop triggers when it expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
-    /// A timer of the module's.
+    /// A timer of the decision module.
     Core(TimerId),
-    /// The end of a query's time.
+    /// A query reaches its deadline.
     QueryDeadline(QueryId),
-    /// The end of the wait for an attempt.
+    /// An attempt was not answered in time.
     AttemptTimeout(AttemptId),
-    /// The end of the wait for a connection to a server, by its key.
+    /// A connection to a server, by its key, was not established in time.
     ConnectTimeout(usize),
-    /// The end of the wait for the rest of an answer, by its connection's key.
+    /// The rest of a partly received response is overdue on a connection, by its key.
     ResponseStalled(usize),
-    /// Discovery's silence, or the wait before the next watch.
+    /// The watch on discovery is to be checked: it was silent for too long, or the wait before the next watch
+    /// is over.
     DiscoveryWatch,
-    /// The end of what a server that drains may still be sent.
+    /// The grace period in which a draining server may still be sent attempts is over.
     DrainGraceExpired(ServerId),
-    /// A look for connections to servers that have fallen silent.
+    /// Connections to servers are to be checked for silence.
     SilenceCheck,
-    /// The end of the wait after word that attempts were given up: their outcomes may be told.
+    /// Servers have had time to read the cancellation of attempts, whose outcomes may now be reported.
     CancelsRead,
-    /// A look over connections that stand idle.
+    /// Idle connections are to be checked.
     IdleSweep,
-    /// The end of listening after SIGTERM.
+    /// After SIGTERM: the listeners are to be closed.
     StopListening,
-    /// The end of taking requests on the connections there are, after it.
+    /// After SIGTERM: no more requests are to be accepted on open connections.
     StopServing,
-    /// The end of the time for which connections may rest in a drain.
+    /// Idle connections may not stay open any longer during a drain.
     DrainIdleEnd,
-    /// The gauges that operators read are to be set anew.
+    /// The gauges for operators are to be updated.
     UpdateGauges,
-    /// The end of the process's time: what is open is answered.
+    /// The process has to end: open queries are to be answered now.
     ShutdownDeadline,
-    /// The end of the time in which an attempt may still begin.
+    /// The latest time at which an attempt may still be sent.
     LatestSend(AttemptId),
 }
 
-/// What everything on the loop shares.
+/// State shared by everything that runs on the event loop.
 pub struct Net {
     /// The poller.
     pub poll: Poll,
@@ -65,22 +66,22 @@
     last_key: usize,
 }
 
-/// Keys up to this one are fixed; those beyond are given out once and never again, so that a report
-/// meant for a connection that is gone can't meet another.
+/// Keys up to this one are fixed. Higher keys are never reused, so that a late event for a closed connection
+/// can't be taken for one of another connection.
 const LAST_FIXED_KEY: usize = 15;
 
 impl Net {
-    /// A loop's poller, timers and clock.
+    /// Creates a poller and an empty timer wheel that starts at the clock's current time.
     ///
     /// # Errors
     ///
-    /// When the system has no descriptors left.
+    /// When the poller can't be created, for instance for want of file descriptors.
     pub fn new(clock: Clock) -> io::Result<Self> {
         let timers = TimerWheel::new(clock.now());
         Ok(Net { poll: Poll::new()?, timers, clock, last_key: LAST_FIXED_KEY })
     }
 
-    /// A key that was never given out before.
+    /// A poller key that has not been used before.
     pub fn new_key(&mut self) -> usize {
         self.last_key += 1;
         self.last_key
--- a/crates/net/src/outbox.rs
+++ b/crates/net/src/outbox.rs
@@ -1,72 +1,72 @@
-//! Bytes that wait to be written, gathered into as few writes as the system takes.
+//! Output buffers that wait to be written, combined into as few vectored writes as possible.
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, Write};
 
-/// Most pieces gathered into one write.
-pub const GATHER: usize = 32;
+/// Most buffers passed to one vectored write.
+pub const MAX_IO_SLICES: usize = 32;
 
-/// Pieces that wait to be written, in order.
+/// Queue of output buffers, written in order.
 #[derive(Default)]
 pub struct Outbox {
-    pieces: VecDeque<Vec<u8>>,
-    /// How much of the first is written.
+    buffers: VecDeque<Vec<u8>>,
+    /// Bytes of the first buffer that are already written.
     written: usize,
-    finished: u64,
+    completed: u64,
 }
 
 impl Outbox {
-    /// Appends a piece.
-    pub fn push(&mut self, piece: Vec<u8>) {
-        if !piece.is_empty() {
-            self.pieces.push_back(piece);
+    /// Appends a buffer; an empty one is ignored.
+    pub fn push(&mut self, buffer: Vec<u8>) {
+        if !buffer.is_empty() {
+            self.buffers.push_back(buffer);
         }
     }
 
-    /// Whether all is written.
+    /// Whether everything is written.
     pub fn is_empty(&self) -> bool {
-        self.pieces.is_empty()
+        self.buffers.is_empty()
     }
 
-    /// Pieces that wait, one that is partly written included.
+    /// Buffers that are not completely written.
     pub fn len(&self) -> usize {
-        self.pieces.len()
+        self.buffers.len()
     }
 
-    /// Bytes that wait to be written.
-    pub fn held(&self) -> usize {
-        self.pieces.iter().map(Vec::len).sum::<usize>() - self.written
+    /// Bytes that are not written yet.
+    pub fn pending_bytes(&self) -> usize {
+        self.buffers.iter().map(Vec::len).sum::<usize>() - self.written
     }
 
-    /// Pieces that are partly written: none or the first.
-    pub fn begun(&self) -> usize {
+    /// Number of partially written buffers: 0, or 1 for the first.
+    pub fn partially_written(&self) -> usize {
         usize::from(self.written > 0)
     }
 
-    /// Takes the last piece back, unless it has been begun.
-    pub fn take_back_last(&mut self) {
-        if self.pieces.len() > self.begun() {
-            self.pieces.pop_back();
+    /// Removes the last buffer, unless part of it is already written.
+    pub fn remove_last_unstarted(&mut self) {
+        if self.buffers.len() > self.partially_written() {
+            self.buffers.pop_back();
         }
     }
 
-    /// Pieces that have been written whole, ever.
-    pub fn finished(&self) -> u64 {
-        self.finished
+    /// Total number of buffers written completely so far.
+    pub fn completed(&self) -> u64 {
+        self.completed
     }
 
-    /// Writes what the sink takes. Gives whether all is written.
+    /// Writes as much as the sink accepts and returns whether everything is written.
     ///
     /// # Errors
     ///
-    /// When the sink fails.
+    /// When the sink fails; a sink that would block is no error.
     pub fn flush(&mut self, sink: &mut impl Write) -> io::Result<bool> {
-        while !self.pieces.is_empty() {
-            let mut slices = [IoSlice::new(&[]); GATHER];
+        while !self.buffers.is_empty() {
+            let mut slices = [IoSlice::new(&[]); MAX_IO_SLICES];
             let mut count = 0;
-            for (slot, piece) in slices.iter_mut().zip(&self.pieces) {
+            for (slice, buffer) in slices.iter_mut().zip(&self.buffers) {
                 let from = if count == 0 { self.written } else { 0 };
-                *slot = IoSlice::new(&piece[from..]);
+                *slice = IoSlice::new(&buffer[from..]);
                 count += 1;
             }
             match sink.write_vectored(&slices[..count]) {
@@ -80,12 +80,13 @@
         Ok(true)
     }
 
+    /// Removes the buffers that are completely written after `written` more bytes.
     fn advance(&mut self, written: usize) {
         self.written += written;
-        while let Some(first) = self.pieces.front().map(Vec::len).filter(|&first| self.written >= first) {
+        while let Some(first) = self.buffers.front().map(Vec::len).filter(|&first| self.written >= first) {
             self.written -= first;
-            self.pieces.pop_front();
-            self.finished += 1;
+            self.buffers.pop_front();
+            self.completed += 1;
         }
     }
 }
--- a/crates/net/src/outbox/tests.rs
+++ b/crates/net/src/outbox/tests.rs
@@ -1,55 +1,65 @@
 use super::*;
 
-struct Narrow(Vec<u8>, usize);
+/// A sink that writes at most 3 bytes at once and blocks after `capacity` bytes.
+struct LimitedSink {
+    written: Vec<u8>,
+    capacity: usize,
+}
+
+impl LimitedSink {
+    fn new(capacity: usize) -> Self {
+        LimitedSink { written: Vec::new(), capacity }
+    }
+}
 
-impl Write for Narrow {
+impl Write for LimitedSink {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if self.1 == 0 {
+        if self.capacity == 0 {
             return Err(io::ErrorKind::WouldBlock.into());
         }
-        let taken = bytes.len().min(self.1).min(3);
-        self.1 -= taken;
-        self.0.extend_from_slice(&bytes[..taken]);
-        Ok(taken)
+        let accepted = bytes.len().min(self.capacity).min(3);
+        self.capacity -= accepted;
+        self.written.extend_from_slice(&bytes[..accepted]);
+        Ok(accepted)
     }
     fn flush(&mut self) -> io::Result<()> {
         Ok(())
     }
 }
 
-// Guards against bytes lost or doubled when a write stops in the middle of a piece.
+// Guards against bytes lost or duplicated when a write ends in the middle of a buffer.
 #[test]
-fn short_writes_neither_lose_nor_double_bytes() {
+fn short_writes_neither_lose_nor_duplicate_bytes() {
     let mut outbox = Outbox::default();
-    for piece in ["ab", "", "cdefg", "h"] {
-        outbox.push(piece.into());
+    for buffer in ["ab", "", "cdefg", "h"] {
+        outbox.push(buffer.into());
     }
-    let mut sink = Narrow(Vec::new(), 4);
-    assert!(!outbox.flush(&mut sink).expect("takes some"));
-    assert_eq!(outbox.finished(), 1);
-    sink.1 = 100;
-    assert!(outbox.flush(&mut sink).expect("takes the rest"));
-    assert_eq!((sink.0.as_slice(), outbox.finished()), (b"abcdefgh".as_slice(), 3));
+    let mut sink = LimitedSink::new(4);
+    assert!(!outbox.flush(&mut sink).expect("accepts some"));
+    assert_eq!(outbox.completed(), 1);
+    sink.capacity = 100;
+    assert!(outbox.flush(&mut sink).expect("accepts the rest"));
+    assert_eq!((sink.written.as_slice(), outbox.completed()), (b"abcdefgh".as_slice(), 3));
 }
 
-// Guards against a begun frame that is cut: only what has not been begun can be taken back.
+// Guards against truncated frames: a buffer can only be removed while none of it is written.
 #[test]
-fn what_was_begun_is_finished() {
+fn a_partially_written_buffer_is_not_removed() {
     let mut outbox = Outbox::default();
-    for piece in ["abc", "def", "ghi", "jkl"] {
-        outbox.push(piece.into());
+    for buffer in ["abc", "def", "ghi", "jkl"] {
+        outbox.push(buffer.into());
     }
-    let mut sink = Narrow(Vec::new(), 1);
-    assert!(!outbox.flush(&mut sink).expect("takes one byte"));
-    (0..10).for_each(|_| outbox.take_back_last());
-    assert_eq!((outbox.len(), outbox.begun()), (1, 1));
+    let mut sink = LimitedSink::new(1);
+    assert!(!outbox.flush(&mut sink).expect("accepts one byte"));
+    (0..10).for_each(|_| outbox.remove_last_unstarted());
+    assert_eq!((outbox.len(), outbox.partially_written()), (1, 1));
     outbox.push("DEF".into());
-    sink.1 = 100;
-    assert!(outbox.flush(&mut sink).expect("takes the rest"));
-    assert_eq!(sink.0, b"abcDEF");
-    // Between two pieces nothing is begun, and all can be taken back.
+    sink.capacity = 100;
+    assert!(outbox.flush(&mut sink).expect("accepts the rest"));
+    assert_eq!(sink.written, b"abcDEF");
+    // When no buffer is partially written, all can be removed.
     outbox.push("ghi".into());
-    outbox.take_back_last();
-    outbox.take_back_last();
+    outbox.remove_last_unstarted();
+    outbox.remove_last_unstarted();
     assert!(outbox.is_empty());
 }
--- a/crates/net/src/wheel/tests.rs
+++ b/crates/net/src/wheel/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 
-// Guards against timers that fire early, get lost over a round of the wheel, or come out of order.
+// Guards against timers that expire early, are lost beyond one revolution of the wheel, or expire out of
+// order.
 #[test]
-fn timers_come_in_order_never_early_and_over_rounds() {
+fn timers_expire_in_order_never_early_and_beyond_one_revolution() {
     let ms = |ms: u64| Time(ms * 1_000_000);
     let mut wheel = TimerWheel::new(ms(7));
     let mut due = Vec::new();
--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -12,7 +12,7 @@
 use crate::core::AttemptId;
 use crate::interface::{ServerId, Time};
 use crate::net::clock::Clock;
-use crate::net::outbox::{GATHER, Outbox};
+use crate::net::outbox::{MAX_IO_SLICES, Outbox};
 
 /// What a connection's buffer keeps between answers, which are short as a rule.
 const KEPT_BUFFER: usize = 4 * 1024;
@@ -154,7 +154,7 @@
         self.unencode();
         loop {
             let now = now.max(clock.now());
-            while self.outbox.len() < GATHER
+            while self.outbox.len() < MAX_IO_SLICES
                 && let Some(mut frame) = self.waiting.pop_front()
             {
                 if !self.leave_late(&mut frame, now) {
@@ -166,16 +166,16 @@
             if self.outbox.is_empty() {
                 return Ok(());
             }
-            let before = self.outbox.finished();
-            let held = self.outbox.held();
+            let before = self.outbox.completed();
+            let held = self.outbox.pending_bytes();
             let result = self.outbox.flush(&mut self.stream);
             // The process may have been held up before the write: only now is it known to have happened. A server
             // that was told of a give-up by an earlier reading would seem to have had its time to read it.
             let written = now.max(clock.now());
-            let has_begun = self.outbox.begun() > 0;
-            let progressed = self.outbox.held() < held;
+            let has_begun = self.outbox.partially_written() > 0;
+            let progressed = self.outbox.pending_bytes() < held;
             self.blocked = has_begun.then(|| self.blocked.filter(|_| !progressed).unwrap_or(written));
-            for _ in before..self.outbox.finished() {
+            for _ in before..self.outbox.completed() {
                 self.last_used = written;
                 match self.encoded.pop_front() {
                     Some(Frame::Query(parts)) => {
@@ -199,10 +199,10 @@
     /// Puts the frames back of which nothing was written. What a frame says, and whether it may go out at all, depends on
     /// when it is written: one that waited behind a full socket would tell its server of time that has gone by.
     pub(super) fn unencode(&mut self) {
-        while self.encoded.len() > self.outbox.begun()
+        while self.encoded.len() > self.outbox.partially_written()
             && let Some(frame) = self.encoded.pop_back()
         {
-            self.outbox.take_back_last();
+            self.outbox.remove_last_unstarted();
             self.waiting.push_front(frame);
         }
     }
--- a/src/backend/tests.rs
+++ b/src/backend/tests.rs
@@ -462,7 +462,7 @@
     let now = bench.net.clock.now();
     bench.backend.flush(&mut bench.net, now);
     let connection = bench.backend.connections.values().next().expect("one");
-    assert_eq!(connection.outbox.begun(), 1, "the socket holds the whole frame");
+    assert_eq!(connection.outbox.partially_written(), 1, "the socket holds the whole frame");
     stream
 }
 
@@ -556,7 +556,8 @@
     let limit = bench.aim / QUIET_PART * DEAD_AFTER;
     let mut now = bench.net.clock.now();
     let mut piece = vec![0; 1024 * 1024];
-    let held = |bench: &Bench| bench.backend.connections.values().map(|c| c.outbox.held()).sum::<usize>();
+    let held =
+        |bench: &Bench| bench.backend.connections.values().map(|c| c.outbox.pending_bytes()).sum::<usize>();
     for _ in 0..3 {
         now = now.after(limit * 2 / 3);
         let before = held(&bench);
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -345,7 +345,7 @@
         let now = self.net.clock.now();
         self.lifecycle.pass(now);
         if self.lifecycle.is_stopping() {
-            let owed = self.core.open() > 0 || self.clients.values().any(Client::is_owed);
+            let owed = self.core.open() > 0 || self.clients.values().any(Client::has_pending_response);
             self.lifecycle.left(now, !self.listeners.is_empty(), owed, !self.clients.is_empty());
         }
         self.lifecycle.phase() != LifePhase::Ended
@@ -367,7 +367,7 @@
             _ if self.backend.ready(&mut self.net, now, key, readable) => {}
             _ => {
                 if let Some(client) = self.clients.get_mut(&key) {
-                    client.asked_write = None;
+                    client.write_interest = None;
                 }
                 self.client_ready(now, key);
             }
--- a/src/broker/accept.rs
+++ b/src/broker/accept.rs
@@ -9,7 +9,7 @@
 use super::{Broker, LISTEN, OGC_LISTEN, PEERS, SLOW};
 use crate::front::Pending;
 use crate::interface::Time;
-use crate::net::client::{Client, Liveness, Phase};
+use crate::net::client::{Client, ConnectionState, Phase};
 use crate::net::http::Response;
 use crate::net::{LISTEN_BACKLOG, TimerEvent, listen};
 
@@ -94,29 +94,29 @@
     /// so, and at last one that does not take its answer.
     pub(super) fn make_room(&mut self, now: Time) -> bool {
         let rank = |client: &Client<Pending>| {
-            let stands = now.since(client.since());
+            let stands = now.since(client.phase_since());
             match client.phase() {
                 Phase::Lingering => Some(0),
-                Phase::Idle { fresh: true } if stands >= SILENT => Some(0),
-                Phase::Idle { fresh: false } => Some(1),
-                Phase::Idle { fresh: true } => Some(2),
+                Phase::Idle { first: true } if stands >= SILENT => Some(0),
+                Phase::Idle { first: false } => Some(1),
+                Phase::Idle { first: true } => Some(2),
                 Phase::Reading { .. } if stands >= SLOW => Some(3),
-                Phase::Answering { .. } if stands >= SLOW => Some(4),
+                Phase::Responding { .. } if stands >= SLOW => Some(4),
                 _ => None,
             }
         };
         loop {
-            let ranked = self.clients.iter().filter_map(|(key, c)| Some((rank(c)?, c.since(), *key)));
+            let ranked = self.clients.iter().filter_map(|(key, c)| Some((rank(c)?, c.phase_since(), *key)));
             let Some((.., key)) = ranked.min() else { return false };
             let Some(client) = self.clients.get_mut(&key) else { return false };
             // What it has said since it was last looked at may make it one that is not to go.
             let before = client.is_idle();
-            if before && client.read(now) == Liveness::Open && !client.is_idle() {
+            if before && client.read(now) == ConnectionState::Open && !client.is_idle() {
                 self.again.push(key);
                 continue;
             }
             if matches!(client.phase(), Phase::Reading { .. }) {
-                client.answer(now, Response::text(503, "no room: try again"), false);
+                client.queue_response(now, Response::text(503, "no room: try again"), false);
                 let _ = client.write(now);
             }
             self.drop_client(key);
--- a/src/broker/clients.rs
+++ b/src/broker/clients.rs
@@ -5,7 +5,7 @@
 use crate::core::{Final, NotTaken, Ticket};
 use crate::front::{Pending, Taken};
 use crate::interface::Time;
-use crate::net::client::{Client, Expired, Liveness, Phase, Whole};
+use crate::net::client::{Client, ConnectionState, Phase, RequestStatus, TimeoutAction};
 use crate::net::http::Response;
 
 /// What a client's buffer may hold while buffers together hold more than they may: an ordinary request.
@@ -19,8 +19,8 @@
         let liveness = client.read(now);
         self.charge(key);
         match liveness {
-            Liveness::Over => self.drop_client(key),
-            Liveness::Open => self.serve(now, key),
+            ConnectionState::Closed => self.drop_client(key),
+            ConnectionState::Open => self.serve(now, key),
         }
     }
 
@@ -33,43 +33,48 @@
     /// Counts what a client's buffer holds now.
     pub(super) fn charge(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(&key) else { return };
-        let held = client.held();
-        self.buffered = self.buffered - std::mem::replace(&mut client.charged, held) + held;
+        let held = client.buffer_bytes();
+        self.buffered = self.buffered - std::mem::replace(&mut client.accounted_bytes, held) + held;
     }
 
     pub(super) fn serve_turn(&mut self, now: Time, key: usize) {
         let mut turn = 0;
         loop {
             let Some(client) = self.clients.get_mut(&key) else { return };
-            if client.write(now) == Liveness::Over {
+            if client.write(now) == ConnectionState::Closed {
                 self.drop_client(key);
                 return;
             }
             // A client that sends on without reading its answers is not taken from until it does.
-            match client.has_request() {
-                Ok(Whole::No) if self.buffered > self.most_buffered && client.is_greedy(ORDINARY_REQUEST) => {
-                    client.answer(now, Response::text(503, "too much to hold: try again"), false);
+            match client.request_status() {
+                Ok(RequestStatus::Incomplete)
+                    if self.buffered > self.most_buffered
+                        && client.has_oversized_request(ORDINARY_REQUEST) =>
+                {
+                    client.queue_response(now, Response::text(503, "too much to hold: try again"), false);
                 }
-                Ok(Whole::No) => break,
-                Ok(Whole::Unread) => {
+                Ok(RequestStatus::Incomplete) => break,
+                Ok(RequestStatus::InputUnread) => {
                     self.again.push(key);
                     break;
                 }
-                Ok(Whole::Yes) if turn == MAX_REQUESTS => {
+                Ok(RequestStatus::Ready) if turn == MAX_REQUESTS => {
                     self.again.push(key);
                     break;
                 }
-                Ok(Whole::Yes) => {
+                Ok(RequestStatus::Ready) => {
                     turn += 1;
                     self.take(now, key);
                 }
-                Err(error) => client.answer(now, Response::text(error.status(), error.to_string()), false),
+                Err(error) => {
+                    client.queue_response(now, Response::text(error.status(), error.to_string()), false)
+                }
             }
         }
         let Some(client) = self.clients.get_mut(&key) else { return };
         // A report that was asked for and has not come still will.
         let write = client.wants_write();
-        if client.asked_write.replace(write) != Some(write)
+        if client.write_interest.replace(write) != Some(write)
             && self.net.poll.rearm(&client.stream, key, true, write).is_err()
         {
             self.drop_client(key);
@@ -90,8 +95,8 @@
             Err(error) => (false, Taken::Answered(Response::text(error.status(), error.to_string()))),
         };
         // The client's time counts from its sending, of which the first byte in is the nearest sign.
-        let spent = now.since(client.begun()) + self.settings.module.on_the_way;
-        client.took(keep_alive);
+        let spent = now.since(client.request_started_at()) + self.settings.module.on_the_way;
+        client.consume_request(keep_alive);
         let response = match taken {
             Taken::Answered(response) => response,
             Taken::Query(mut query, pending) => {
@@ -104,7 +109,7 @@
                 let Some(client) = self.clients.get_mut(&key) else { return };
                 match taken {
                     Ok(id) => {
-                        client.wait(now, id, pending);
+                        client.start_query(now, id, pending);
                         return;
                     }
                     Err(why) => {
@@ -119,21 +124,21 @@
             }
         };
         if let Some(client) = self.clients.get_mut(&key) {
-            client.answer(now, response, stay);
+            client.queue_response(now, response, stay);
         }
     }
 
     pub(super) fn finish(&mut self, now: Time, ticket: Ticket, last: Final) {
         let (key, stay) = (ticket.0 as usize, !self.lifecycle.is_closing());
         let Some(client) = self.clients.get_mut(&key) else { return };
-        let Some(pending) = client.finish(now) else { return };
+        let Some(pending) = client.finish_query(now) else { return };
         let outcome = match last {
             Final::Answered { .. } => Outcome::Fulfilled,
             Final::Refused { .. } => Outcome::Throttled,
             Final::Failed => Outcome::Faulted,
         };
         self.operations.statistics().request_ended(pending.class, outcome);
-        client.answer(now, self.front.answer(&pending, last), stay);
+        client.queue_response(now, self.front.answer(&pending, last), stay);
         self.serve(now, key);
     }
 
@@ -141,15 +146,15 @@
     pub(super) fn look_at(&mut self, now: Time, key: usize) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         match client.read(now) {
-            Liveness::Over => self.drop_client(key),
-            Liveness::Open => self.again.push(key),
+            ConnectionState::Closed => self.drop_client(key),
+            ConnectionState::Open => self.again.push(key),
         }
     }
 
     pub(super) fn drop_client(&mut self, key: usize) {
         let Some(client) = self.clients.remove(&key) else { return };
         self.net.poll.remove(&client.stream);
-        self.buffered -= client.charged;
+        self.buffered -= client.accounted_bytes;
         if let Some(query) = client.query() {
             self.core.client_gone(query);
         }
@@ -162,13 +167,14 @@
     pub(super) fn sweep_clients(&mut self, now: Time) {
         let longest =
             self.settings.module.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-        let expired = |(key, client): (&usize, &Client<Pending>)| Some((*key, client.expired(now, longest)?));
-        let expired: Vec<(usize, Expired)> = self.clients.iter().filter_map(expired).collect();
+        let expired =
+            |(key, client): (&usize, &Client<Pending>)| Some((*key, client.timeout_action(now, longest)?));
+        let expired: Vec<(usize, TimeoutAction)> = self.clients.iter().filter_map(expired).collect();
         for (key, then) in expired {
             match (then, self.clients.get_mut(&key)) {
-                (Expired::Rest, _) => self.end_client(now, key),
-                (Expired::Request, Some(client)) => {
-                    client.answer(now, Response::text(408, "the request did not end in time"), false);
+                (TimeoutAction::CloseIdle, _) => self.end_client(now, key),
+                (TimeoutAction::RejectRequest, Some(client)) => {
+                    client.queue_response(now, Response::text(408, "the request did not end in time"), false);
                     self.serve(now, key);
                 }
                 _ => self.drop_client(key),
@@ -177,10 +183,10 @@
         // Answers that are not taken are held too: whoever has taken nothing for longest has the least to lose.
         while self.buffered > self.most_buffered {
             let slow = |client: &&Client<Pending>| {
-                matches!(client.phase(), Phase::Answering { .. }) && now.since(client.since()) >= SLOW
+                matches!(client.phase(), Phase::Responding { .. }) && now.since(client.phase_since()) >= SLOW
             };
             let slowest =
-                self.clients.iter().filter(|(_, c)| slow(c)).min_by_key(|(key, c)| (c.since(), **key));
+                self.clients.iter().filter(|(_, c)| slow(c)).min_by_key(|(key, c)| (c.phase_since(), **key));
             let Some(key) = slowest.map(|(key, _)| *key) else { break };
             self.drop_client(key);
         }
@@ -190,7 +196,7 @@
     pub(super) fn end_client(&mut self, now: Time, key: usize) {
         self.client_ready(now, key);
         if let Some(client) = self.clients.get_mut(&key).filter(|client| client.is_idle())
-            && client.end(now) == Liveness::Over
+            && client.half_close(now) == ConnectionState::Closed
         {
             self.drop_client(key);
         }
--- a/src/record.rs
+++ b/src/record.rs
@@ -39,7 +39,7 @@
         let sampled = trace.sample.iter().any(|share| *share < 1.0);
         let source = Source {
             broker: config.name.clone(),
-            run: clock.run(),
+            run: clock.run_id(),
             unix_at_zero: clock.unix_at_zero(),
             settings_digest: Source::digest(&config.settings_json),
             classes: config.settings.classes.clone(),
--- a/src/state.rs
+++ b/src/state.rs
@@ -99,7 +99,7 @@
             }
         };
         let Server { zone, cell, started_ms, .. } = server.clone();
-        let started = clock.at_unix(started_ms);
+        let started = clock.from_unix_ms(started_ms);
         let member = Member { name: name.clone(), zone, cell, state, started };
         members.insert(name.clone(), (member, server.address));
     }
