--- a/crates/poll/src/lib.rs
+++ b/crates/poll/src/lib.rs
@@ -1,5 +1,5 @@
-//! The poller, for the broker's loop and for those of the stand-ins and the fault proxy: the one place that registers
-//! sockets with it. And connections that are begun without waiting for them.
+//! Readiness polling for the event loops of the broker, the stand-ins and the fault proxy, and non-blocking
+//! sockets. This is the only place that registers sockets with the operating system.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -10,46 +10,47 @@
 use polling::{Event, Events, Poller};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
-/// What a source is ready for.
+/// A readiness event of a registered source.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
-    /// The key it was registered under.
+    /// The key that the source was registered under.
     pub key: usize,
-    /// It can be read, or has ended.
+    /// It can be read, or has reached its end.
     pub readable: bool,
     /// It can be written, or has failed.
     pub writable: bool,
 }
 
-/// Wraps the poller. Sources report once and are then asked for again, so none can spin the loop.
+/// A poller with one-shot registrations: a source has to be rearmed after each event, so that none can keep
+/// the event loop spinning.
 pub struct Poll {
     poller: Arc<Poller>,
     events: Events,
 }
 
 impl Poll {
-    /// A poller without sources.
+    /// Creates a poller without sources.
     ///
     /// # Errors
     ///
-    /// When the system has no descriptors left for it.
+    /// When the operating system can't create it, for instance for want of file descriptors.
     pub fn new() -> io::Result<Self> {
         Ok(Poll { poller: Arc::new(Poller::new()?), events: Events::new() })
     }
 
-    /// Registers a source.
+    /// Registers a source and arms it.
     ///
     /// # Errors
     ///
-    /// When the system refuses it.
-    #[allow(unsafe_code)] // `polling` asks for a promise that `remove` comes before the source is closed.
+    /// When the operating system refuses the registration.
+    #[allow(unsafe_code)] // `polling` requires that a source is removed before it is closed.
     pub fn add(&self, source: &(impl AsRawFd + AsFd), key: usize, read: bool, write: bool) -> io::Result<()> {
-        // SAFETY: every owner of a registered source calls `remove` before it drops it; sources are never
+        // SAFETY: every owner of a registered source calls `remove` before it drops it. Sources are never
         // duplicated, so on Linux closing one would also end its registration.
         unsafe { self.poller.add(source, Event::new(key, read, write)) }
     }
 
-    /// Asks for the next report of a source.
+    /// Arms a registered source for its next event.
     ///
     /// # Errors
     ///
@@ -58,66 +59,67 @@
         self.poller.modify(source, Event::new(key, read, write))
     }
 
-    /// Ends a registration; without effect on one that has ended.
+    /// Removes a source; has no effect if it is not registered.
     pub fn remove(&self, source: &impl AsFd) {
-        // An error means that it was not registered, which is what is wanted.
+        // The only error is that the source is not registered, which is the intended result.
         let _ = self.poller.delete(source);
     }
 
-    /// What ends a wait from another thread.
+    /// A handle that interrupts [`Poll::wait`] from another thread.
     pub fn waker(&self) -> Waker {
         Waker(self.poller.clone())
     }
 
-    /// Waits until sources are ready or the time is over, and gives those that are.
+    /// Waits until a source is ready, the timeout expires or the wait is interrupted, and appends the events
+    /// to `ready`. Without a timeout it waits indefinitely.
     ///
     /// # Errors
     ///
     /// When the poller itself fails.
-    pub fn wait(&mut self, time_out: Option<Duration>, ready: &mut Vec<Ready>) -> io::Result<()> {
+    pub fn wait(&mut self, timeout: Option<Duration>, ready: &mut Vec<Ready>) -> io::Result<()> {
         self.events.clear();
-        match self.poller.wait(&mut self.events, time_out) {
+        match self.poller.wait(&mut self.events, timeout) {
             Err(error) if error.kind() != io::ErrorKind::Interrupted => return Err(error),
             _ => {}
         }
-        let each = self.events.iter();
-        ready.extend(each.map(|e| Ready { key: e.key, readable: e.readable, writable: e.writable }));
+        let events = self.events.iter();
+        ready.extend(events.map(|e| Ready { key: e.key, readable: e.readable, writable: e.writable }));
         Ok(())
     }
 }
 
-/// Ends a poller's wait from another thread.
+/// Interrupts the wait of a poller from another thread.
 #[derive(Clone, Debug)]
 pub struct Waker(Arc<Poller>);
 
 impl Waker {
-    /// Ends the wait under way, or the next one.
+    /// Interrupts the current wait, or the next one if none is in progress.
     pub fn wake(&self) {
-        // It fails only where the system has no memory left; the next event wakes the loop then.
+        // It fails only when the operating system is out of memory; the next event then ends the wait.
         let _ = self.0.notify();
     }
 }
 
-/// Begins a connection; [`is_connected`] tells when it is up.
+/// Starts to connect without blocking; [`is_connected`] tells when the connection is established.
 ///
 /// # Errors
 ///
-/// When the system refuses at once.
+/// When the connection fails immediately.
 pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&address.into()) {
-        Err(error) if error.raw_os_error() != Some(IN_PROGRESS) => Err(error),
+        Err(error) if error.raw_os_error() != Some(EINPROGRESS) => Err(error),
         _ => Ok(socket.into()),
     }
 }
 
-/// Connections that may wait to be accepted at a listener; the system may allow fewer.
+/// Number of connections that may wait to be accepted at a listener; the operating system may allow fewer.
 pub const LISTEN_BACKLOG: usize = 1024;
 
-/// Listens at an address. With `shared`, other sockets of this user that ask for the same may be bound there, too
-/// (SO_REUSEPORT), and the system deals new connections to all of them.
+/// Binds a non-blocking TCP listener. With `shared`, other sockets of the same user may listen on the same
+/// address (`SO_REUSEPORT`), and the kernel distributes new connections among them.
 ///
 /// # Errors
 ///
@@ -134,7 +136,7 @@
     Ok(socket.into())
 }
 
-/// A socket for datagrams at an address, `shared` as for [`listen`].
+/// Binds a non-blocking UDP socket; `shared` as for [`listen`].
 ///
 /// # Errors
 ///
@@ -149,14 +151,14 @@
     Ok(socket.into())
 }
 
-/// Linux's EINPROGRESS, which the standard library has no kind for.
-const IN_PROGRESS: i32 = 115;
+/// Linux's `EINPROGRESS`, for which the standard library has no stable error kind.
+const EINPROGRESS: i32 = 115;
 
-/// Whether a connection is up.
+/// Whether a connection started by [`connect`] is established.
 ///
 /// # Errors
 ///
-/// When it failed.
+/// When the connection failed.
 pub fn is_connected(stream: &TcpStream) -> io::Result<bool> {
     if let Some(error) = SockRef::from(stream).take_error()? {
         return Err(error);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,9 @@
-//! What a restarted broker still knows: how servers stood, drains above all. `redb` keeps the file whole over crashes;
-//! this package has the typed records, what belongs to whom, the thread that commits, and the [`plan`] of what is
-//! believed. `docs/design/store.md` says why so.
+//! The broker's persistent state: the last known status of servers, above all which ones are draining, for
+//! the next start. `redb` keeps the file consistent across crashes; this crate defines the typed records and
+//! their owner, the thread that commits changes, and how stored state is reconciled with the list of servers
+//! at a start ([`reconcile`]). `docs/design/store.md` gives the reasons.
 
 pub mod engine;
-pub mod plan;
+pub mod reconcile;
 pub mod record;
 pub mod writer;
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,61 +1,63 @@
-//! The records of the store, as they are written: JSON under the format version of the file.
+//! The store's records as they are written: JSON, under the format version of the file.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// How a server stands.
+/// The status of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
-    /// It serves.
+pub enum ServerStatus {
+    /// It accepts attempts.
     Up,
-    /// It is not to be sent anything new.
+    /// It may not be sent new attempts.
     Draining,
-    /// It is not in the list any more.
+    /// It has been removed from the list.
     Gone,
 }
 
-/// What is stored of a server.
+/// The record of a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Server {
-    /// How it stood last.
-    pub standing: Standing,
+pub struct ServerRecord {
+    /// Its last known status.
+    #[serde(rename = "standing")]
+    pub status: ServerStatus,
     /// Its zone's name.
     pub zone: String,
     /// Its cell.
     pub cell: u32,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: Option<SocketAddr>,
-    /// When its process started, in Unix milliseconds; 0 for long ago.
+    /// When its process started, in Unix milliseconds; 0 if unknown or too long ago to matter.
     pub started_ms: u64,
-    /// When that was noted, in Unix milliseconds.
+    /// When this record was updated, in Unix milliseconds.
     pub noted_ms: u64,
 }
 
-/// What is stored of the store itself.
+/// The record of the store itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Head {
-    /// Version of the format.
+pub struct StoreHeader {
+    /// Format version of the file.
     pub format: u32,
     /// The broker's name.
     pub name: String,
-    /// A hash of what makes the installation: zones, classes, cells.
+    /// A hash of the configuration that identifies the installation: zones, classes, cells.
     pub site: String,
-    /// Which discovery the list came from.
+    /// The discovery that the list came from.
     pub discovery: String,
-    /// The newest version of its list in the store.
+    /// The newest version of discovery's list in the store.
     pub index: u64,
-    /// How often the store was opened by a broker.
+    /// How many times a broker has opened the store.
     pub opened: u64,
-    /// Sum of the checks of all records: none may be missing or come from another state.
+    /// Wrapping sum of the checksums of all server records, which reveals a missing record or one of another
+    /// state.
     pub sum: u32,
 }
 
-/// The check of a record under its key.
-pub fn check(key: &str, bytes: &[u8]) -> u32 {
+/// The CRC-32 of a record and its key.
+pub fn checksum(key: &str, bytes: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(key.as_bytes());
     hasher.update(&[0]);
@@ -63,24 +65,24 @@
     hasher.finalize()
 }
 
-/// A record as it is written under its key: its check, then JSON. Pages that the engine has not rewritten are not
-/// checked by it when it opens a file, so each record is checked here.
+/// Encodes a record for its key: the checksum as 4 bytes, big-endian, then JSON. Each record has its own
+/// checksum because the engine, when it opens a file, does not verify pages that it has not rewritten.
 ///
 /// # Errors
 ///
-/// When it can't be written as JSON.
+/// When the record can't be serialized as JSON.
 pub fn encode(key: &str, record: &impl Serialize) -> Result<Vec<u8>, String> {
     let json = serde_json::to_vec(record).map_err(|error| error.to_string())?;
-    Ok([&check(key, &json).to_be_bytes()[..], &json].concat())
+    Ok([&checksum(key, &json).to_be_bytes()[..], &json].concat())
 }
 
-/// The JSON of a record, and its check.
+/// Returns the JSON of an encoded record, and its checksum.
 ///
 /// # Errors
 ///
-/// When the check does not fit.
+/// When the record is too short or its checksum does not match.
 pub fn decode<'a>(key: &str, bytes: &'a [u8]) -> Result<(&'a [u8], u32), String> {
-    let (sum, json) = bytes.split_first_chunk::<4>().ok_or("is cut short")?;
-    let sum = u32::from_be_bytes(*sum);
-    if sum == check(key, json) { Ok((json, sum)) } else { Err("its check does not fit".to_owned()) }
+    let (stored, json) = bytes.split_first_chunk::<4>().ok_or("is truncated")?;
+    let stored = u32::from_be_bytes(*stored);
+    if stored == checksum(key, json) { Ok((json, stored)) } else { Err("has a wrong checksum".to_owned()) }
 }
--- a/src/bin/badgergauge/store.rs
+++ b/src/bin/badgergauge/store.rs
@@ -54,13 +54,13 @@
 }
 
 fn info(path: &Path) -> Result<(), String> {
-    let store = Store::look(path).map_err(plain)?;
-    let (head, stored) = (store.head(), store.read().map_err(plain)?);
+    let store = Store::open_existing(path).map_err(plain)?;
+    let (head, stored) = (store.header(), store.read().map_err(plain)?);
     println!("broker {}, installation {}, format {}", head.name, head.site, head.format);
     println!("opened {} times; discovery {:?}, version {}", head.opened, head.discovery, head.index);
     let mut standing: BTreeMap<String, usize> = BTreeMap::new();
     for server in stored.servers.values() {
-        *standing.entry(format!("{:?}", server.standing).to_lowercase()).or_default() += 1;
+        *standing.entry(format!("{:?}", server.status).to_lowercase()).or_default() += 1;
     }
     let counted: Vec<String> =
         standing.iter().map(|(standing, count)| format!("{count} {standing}")).collect();
@@ -70,7 +70,7 @@
 }
 
 fn check(path: &Path) -> Result<(), String> {
-    let stored = Store::look(path).and_then(|store| store.read()).map_err(plain)?;
+    let stored = Store::open_existing(path).and_then(|store| store.read()).map_err(plain)?;
     println!("sound: {} servers", stored.servers.len());
     let config = Config::from_env().map_err(plain)?;
     let clock = Clock::start();
@@ -80,7 +80,7 @@
     match state::beliefs(&clock, &discovery, known.as_ref(), &stored) {
         Ok(beliefs) => {
             for (name, belief) in beliefs {
-                println!("{name}: {:?}, {}", belief.standing, belief.why);
+                println!("{name}: {:?}, {}", belief.status, belief.reason);
             }
         }
         Err(why) => println!("nothing would be believed: {why}"),
@@ -89,7 +89,7 @@
 }
 
 fn dump(path: &Path) -> Result<(), String> {
-    let stored = Store::look(path).and_then(|store| store.read()).map_err(plain)?;
+    let stored = Store::open_existing(path).and_then(|store| store.read()).map_err(plain)?;
     for (name, server) in stored.servers {
         println!("{}", serde_json::json!({"kind": "server", "name": name, "server": server}));
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
 //! The store beside the broker, where the operator's file switches it on: what of it is believed at the start, and
-//! each list noted as it comes. What is believed is decided in [`badgergauge_store::plan`].
+//! each list noted as it comes. What is believed is decided in [`badgergauge_store::reconcile`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
@@ -7,9 +7,9 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use badgergauge_store::engine::{Fault, Owner, Store, set_aside};
-use badgergauge_store::plan::{Belief, Listed, Stored, Why, plan};
-use badgergauge_store::record::{Server, Standing, check};
+use badgergauge_store::engine::{Owner, Store, StoreError, set_aside};
+use badgergauge_store::reconcile::{ListedServer, Reason, Resolution, StoredState, reconcile};
+use badgergauge_store::record::{ServerRecord, ServerStatus, checksum};
 use badgergauge_store::writer::Writer;
 
 use crate::config::Config;
@@ -34,11 +34,11 @@
     gone: VecDeque<String>,
 }
 
-fn standing(state: ServerState) -> Standing {
+fn standing(state: ServerState) -> ServerStatus {
     match state {
-        ServerState::Up => Standing::Up,
-        ServerState::Draining => Standing::Draining,
-        ServerState::Removed => Standing::Gone,
+        ServerState::Up => ServerStatus::Up,
+        ServerState::Draining => ServerStatus::Draining,
+        ServerState::Removed => ServerStatus::Gone,
     }
 }
 
@@ -49,7 +49,7 @@
         "{:?} {:?} {} {} {}",
         config.settings.zones, config.settings.classes, module.shards, module.cells, module.width
     );
-    Owner { name: config.name.clone(), site: format!("{:08x}", check("site", site.as_bytes())) }
+    Owner { name: config.name.clone(), site: format!("{:08x}", checksum("site", site.as_bytes())) }
 }
 
 /// Unix time, in milliseconds.
@@ -66,15 +66,15 @@
     clock: &Clock,
     discovery: &str,
     known: Option<&Listing>,
-    stored: &Stored,
-) -> Result<BTreeMap<String, Belief>, String> {
+    stored: &StoredState,
+) -> Result<BTreeMap<String, Resolution>, String> {
     let members = known.map_or(&[][..], |list| &list.members);
     let listed = members.iter().map(|(member, _)| {
         let started_ms = clock.unix_ms(member.started);
-        (member.name.clone(), Listed { standing: standing(member.state), started_ms })
+        (member.name.clone(), ListedServer { status: standing(member.state), started_ms })
     });
     let index = known.map_or(0, |list| list.index);
-    plan(unix_ms(), UP_FOR.as_millis() as u64, discovery, index, &listed.collect(), stored)
+    reconcile(unix_ms(), UP_FOR.as_millis() as u64, discovery, index, &listed.collect(), stored)
         .map_err(|_| format!("it came from another discovery, {:?}", stored.discovery))
 }
 
@@ -82,23 +82,23 @@
 fn believed(
     clock: &Clock,
     known: Option<Listing>,
-    beliefs: &BTreeMap<String, Belief>,
-    stored: &Stored,
+    beliefs: &BTreeMap<String, Resolution>,
+    stored: &StoredState,
 ) -> Listing {
     let known = known.unwrap_or(Listing { index: 0, whole: true, members: Vec::new() });
     let mut members: BTreeMap<String, (Member, Option<SocketAddr>)> =
         known.members.into_iter().map(|line| (line.0.name.clone(), line)).collect();
-    for (name, belief) in beliefs.iter().filter(|(_, belief)| belief.of_store) {
+    for (name, belief) in beliefs.iter().filter(|(_, belief)| belief.from_store) {
         let Some(server) = stored.servers.get(name) else { continue };
-        let state = match belief.standing {
-            Standing::Up if server.address.is_some() => ServerState::Up,
-            Standing::Draining => ServerState::Draining,
-            Standing::Up | Standing::Gone => {
+        let state = match belief.status {
+            ServerStatus::Up if server.address.is_some() => ServerState::Up,
+            ServerStatus::Draining => ServerState::Draining,
+            ServerStatus::Up | ServerStatus::Gone => {
                 members.remove(name);
                 continue;
             }
         };
-        let Server { zone, cell, started_ms, .. } = server.clone();
+        let ServerRecord { zone, cell, started_ms, .. } = server.clone();
         let started = clock.from_unix_ms(started_ms);
         let member = Member { name: name.clone(), zone, cell, state, started };
         members.insert(name.clone(), (member, server.address));
@@ -117,14 +117,15 @@
         let (Some(path), Some(discovery)) = (&config.service.store, config.discovery) else {
             return Ok(None);
         };
-        let refused = |fault: Fault| {
-            let kind = if fault == Fault::Locked { io::ErrorKind::AddrInUse } else { io::ErrorKind::Other };
+        let refused = |fault: StoreError| {
+            let kind =
+                if fault == StoreError::Locked { io::ErrorKind::AddrInUse } else { io::ErrorKind::Other };
             io::Error::new(kind, format!("store {}: {fault}", path.display()))
         };
         let owner = owner(config);
         let (store, stored) = match Store::open(path, &owner) {
             Ok(opened) => opened,
-            Err(fault @ (Fault::Locked | Fault::Refused(_))) => return Err(refused(fault)),
+            Err(fault @ (StoreError::Locked | StoreError::Io(_))) => return Err(refused(fault)),
             Err(fault) => {
                 let aside = set_aside(path)?;
                 tracing::warn!("store: set aside as {}: {fault}", aside.display());
@@ -132,7 +133,7 @@
             }
         };
         let discovery = discovery.to_string();
-        tell(path, &stored, store.head().opened);
+        tell(path, &stored, store.header().opened);
         let mut keeper = StateStore {
             writer: Writer::start(store, |fault| tracing::warn!("store: not written: {fault}"))?,
             clock,
@@ -145,16 +146,18 @@
         }
         match beliefs(&clock, &keeper.discovery, known.as_ref(), &stored) {
             Ok(beliefs) => {
-                for (name, belief) in beliefs.iter().filter(|(_, b)| b.of_store && b.why != Why::Listed) {
-                    tracing::info!("store: {name}: {}", belief.why);
+                for (name, belief) in
+                    beliefs.iter().filter(|(_, b)| b.from_store && b.reason != Reason::Listed)
+                {
+                    tracing::info!("store: {name}: {}", belief.reason);
                 }
                 *known = Some(believed(&clock, known.take(), &beliefs, &stored));
             }
             Err(why) => tracing::warn!("store: nothing of it is believed: {why}"),
         }
         for (name, server) in stored.servers {
-            match server.standing {
-                Standing::Gone => keeper.gone.push_back(name),
+            match server.status {
+                ServerStatus::Gone => keeper.gone.push_back(name),
                 _ => drop(keeper.listed.insert(name)),
             }
         }
@@ -169,8 +172,9 @@
         for (member, address) in &list.members {
             let (zone, cell) = (member.zone.clone(), member.cell);
             let (standing, started_ms) = (standing(member.state), self.clock.unix_ms(member.started));
-            let server = Server { standing, zone, cell, address: *address, started_ms, noted_ms };
-            if standing == Standing::Gone {
+            let server =
+                ServerRecord { status: standing, zone, cell, address: *address, started_ms, noted_ms };
+            if standing == ServerStatus::Gone {
                 self.leaves(&member.name);
             } else {
                 self.listed.insert(member.name.clone());
@@ -183,8 +187,8 @@
             // A whole list tells by leaving out: whatever process an older list may name, it is not there.
             for name in self.listed.difference(&here).cloned().collect::<Vec<_>>() {
                 let (zone, address) = (String::new(), None);
-                let server = Server {
-                    standing: Standing::Gone,
+                let server = ServerRecord {
+                    status: ServerStatus::Gone,
                     zone,
                     cell: 0,
                     address,
@@ -199,7 +203,7 @@
             let oldest = self.gone.pop_front().unwrap_or_default();
             changes.insert(oldest, None);
         }
-        self.writer.note(changes, Some((self.discovery.clone(), list.index)));
+        self.writer.enqueue(changes, Some((self.discovery.clone(), list.index)));
     }
 
     /// From now on lists come from another discovery.
@@ -214,7 +218,7 @@
     }
 }
 
-fn tell(path: &Path, stored: &Stored, opened: u64) {
+fn tell(path: &Path, stored: &StoredState, opened: u64) {
     let newest = stored.servers.values().map(|server| server.noted_ms).max();
     let age = newest.map_or(String::new(), |at| {
         format!(", noted {:.1} s ago at the latest", unix_ms().saturating_sub(at) as f64 / 1e3)
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -33,9 +33,9 @@
     }
     drop(keeper);
     let (_, stored) = Store::open(&path, &owner).expect("opens");
-    let standing = |name: &str| stored.servers.get(name).map(|server| server.standing);
-    assert_eq!(standing("a"), Some(Standing::Draining));
-    assert_eq!((standing("c"), standing("x299")), (Some(Standing::Up), Some(Standing::Gone)));
+    let standing = |name: &str| stored.servers.get(name).map(|server| server.status);
+    assert_eq!(standing("a"), Some(ServerStatus::Draining));
+    assert_eq!((standing("c"), standing("x299")), (Some(ServerStatus::Up), Some(ServerStatus::Gone)));
     assert_eq!((standing("b"), standing("x0")), (None, None), "the oldest went first");
     assert_eq!(stored.servers.len(), 2 + LEAST_GONE);
     std::fs::remove_file(&path).expect("there");
@@ -54,22 +54,22 @@
             member("new", ServerState::Up),
         ],
     };
-    let server = |standing, address: Option<&str>| Server {
-        standing,
+    let server = |standing, address: Option<&str>| ServerRecord {
+        status: standing,
         zone: "z".into(),
         cell: 1,
         address: address.and_then(|at| at.parse().ok()),
         started_ms: 0,
         noted_ms: unix_ms(),
     };
-    let stored = Stored {
+    let stored = StoredState {
         discovery: "d".into(),
         index: 5,
         servers: BTreeMap::from([
-            ("drains".into(), server(Standing::Draining, Some("127.0.0.1:7"))),
-            ("gone".into(), server(Standing::Gone, None)),
-            ("lately".into(), server(Standing::Up, Some("127.0.0.1:8"))),
-            ("nowhere".into(), server(Standing::Up, None)),
+            ("drains".into(), server(ServerStatus::Draining, Some("127.0.0.1:7"))),
+            ("gone".into(), server(ServerStatus::Gone, None)),
+            ("lately".into(), server(ServerStatus::Up, Some("127.0.0.1:8"))),
+            ("nowhere".into(), server(ServerStatus::Up, None)),
         ]),
     };
     let beliefs = beliefs(&clock, "d", Some(&known), &stored).expect("the same discovery");
