--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -51,8 +51,8 @@
     UpdateGauges,
     /// The process has to end: open queries are to be answered now.
     ShutdownDeadline,
-    /// The latest time at which an attempt may still be sent.
-    LatestSend(AttemptId),
+    /// An attempt may not start any more if it has not been written yet.
+    StartBefore(AttemptId),
 }
 
 /// State shared by everything that runs on the event loop.
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -383,7 +383,7 @@
                 }
             }
             TimerEvent::AttemptTimeout(attempt) => self.backend.give_up(now, attempt, Verdict::NoAnswer),
-            TimerEvent::LatestSend(attempt) => self.backend.take_back(now, attempt),
+            TimerEvent::StartBefore(attempt) => self.backend.take_back(now, attempt),
             TimerEvent::ConnectTimeout(key) => self.backend.connect_time_out(&self.net, key),
             TimerEvent::ResponseStalled(key) => self.backend.stalled(&self.net, now, key),
             TimerEvent::DrainGraceExpired(server) if self.core.is_draining(server) => {
@@ -473,7 +473,7 @@
             Command::Send(send) => {
                 self.net.timers.arm(send.until, TimerEvent::AttemptTimeout(send.attempt));
                 if let Some(latest) = send.latest.filter(|latest| *latest < send.until) {
-                    self.net.timers.arm(latest, TimerEvent::LatestSend(send.attempt));
+                    self.net.timers.arm(latest, TimerEvent::StartBefore(send.attempt));
                 }
                 self.backend.send(&mut self.net, now, send);
             }
