--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -123,15 +123,17 @@
         Ok(at)
     }
 
+    /// Handles a complete line: a chunk size, the end of a chunk or a trailer.
     fn end_line(&mut self, line: &[u8]) -> Result<(), HttpError> {
         self.state = match self.state {
             ChunkState::Size => {
                 let text = std::str::from_utf8(line).map_err(|_| HttpError::Malformed)?;
                 let digits = text.split(';').next().unwrap_or("").trim();
-                let only_digits = digits.bytes().all(|b| b.is_ascii_hexdigit());
+                // `from_str_radix` also accepts a sign.
+                let is_hex = digits.bytes().all(|b| b.is_ascii_hexdigit());
                 match usize::from_str_radix(digits, 16) {
-                    Ok(0) if only_digits => ChunkState::Trailer,
-                    Ok(size) if only_digits => ChunkState::Data(size),
+                    Ok(0) if is_hex => ChunkState::Trailer,
+                    Ok(size) if is_hex => ChunkState::Data(size),
                     _ => return Err(HttpError::Malformed),
                 }
             }
@@ -233,11 +235,11 @@
             self.bytes.drain(..blank);
         }
         let from = self.scanned.saturating_sub(3);
-        let ends = |at: &usize| {
+        let is_head_end = |at: &usize| {
             let rest = &self.bytes[*at..];
             rest.starts_with(b"\n\r\n") || rest.starts_with(b"\n\n")
         };
-        let found = (from..self.bytes.len()).find(ends);
+        let found = (from..self.bytes.len()).find(is_head_end);
         self.scanned = self.bytes.len();
         if found.unwrap_or(self.scanned) > MAX_HEAD_BYTES {
             return Err(HttpError::HeadTooLong);
--- a/crates/store/src/engine.rs
+++ b/crates/store/src/engine.rs
@@ -293,6 +293,7 @@
         ServerRecord { status, zone, cell, address: "127.0.0.1:9".parse().ok(), started_ms: 5, noted_ms }
     }
 
+    /// A store with 20 servers written and one of them deleted again.
     fn filled(path: &Path) -> StoredState {
         let (mut store, _) = Store::open(path, &owner()).expect("opens");
         for n in 0..20 {
@@ -300,7 +301,7 @@
             store.commit(&put, Some(("d", n))).expect("durable");
         }
         store.commit(&BTreeMap::from([("s3".to_owned(), None)]), None).expect("durable");
-        store.read().expect("whole")
+        store.read().expect("consistent")
     }
 
     #[test]
