--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -10,13 +10,13 @@
 use crate::decide::snapshot::budgets::Spending;
 use crate::decide::snapshot::{Snapshot, SnapshotError};
 use crate::decide::{HOLD_OFF_SHARE, Router};
+use crate::gossip::{self, Gossip, Observation, short_id};
 use crate::interface::*;
-use crate::settings::SiteSettings;
-use crate::word::{self, Sighting, Word, short};
+use crate::settings::{PeerSettings, SiteSettings};
 
 /// Whom a query's final answer goes to: a number of the front's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Ticket(pub u64);
+pub struct ReplyId(pub u64);
 
 /// A part of a query as a front takes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -41,24 +41,24 @@
     /// What it asks about.
     pub key: Option<u64>,
     /// Whether its client marked it as a repetition.
-    pub repeated: bool,
+    pub is_retry: bool,
     /// Time until its client gives up.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Its idempotency key, in a keyed class.
-    pub idempotency: Option<String>,
+    pub idempotency_key: Option<String>,
     /// What each part carries.
-    pub text: String,
+    pub body: String,
     /// Its parts, each of another shard.
     pub parts: Vec<NewPart>,
 }
 
 /// Why a query is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum NotAccepted {
     /// As many queries and parts are open as may be.
-    Full {
+    AtCapacity {
         /// How long the client should stay away; zero where clients are told no such time.
-        hold_off: Duration,
+        retry_after: Duration,
     },
     /// A query of this name is open.
     NameInUse,
@@ -66,18 +66,18 @@
 
 /// The one final answer of a query.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final {
+pub enum FinalAnswer {
     /// Answered, from the parts that are in.
     Answered {
         /// Whether the answer is marked whole.
-        whole: bool,
+        complete: bool,
         /// Shard and value of each part that is in, in the order asked; none for one that is not.
         values: Vec<(u32, Option<String>)>,
     },
     /// Refused: trying again is harmless.
     Refused {
         /// For how long the client is asked to stay away.
-        hold_off: Duration,
+        retry_after: Duration,
     },
     /// Failed, with no promise.
     Failed,
@@ -88,7 +88,7 @@
 
 /// An attempt to send.
 #[derive(Clone, Debug)]
-pub struct Send {
+pub struct SendAttempt {
     /// The attempt.
     pub attempt: AttemptId,
     /// To whom.
@@ -98,36 +98,36 @@
     /// The shard asked.
     pub shard: u32,
     /// The query's idempotency key.
-    pub idempotency: Option<Arc<str>>,
+    pub idempotency_key: Option<Arc<str>>,
     /// What the part carries.
-    pub text: Arc<str>,
+    pub body: Arc<str>,
     /// Its class's aim.
     pub aim: Duration,
     /// When the broker stops waiting.
-    pub until: Time,
+    pub deadline: Time,
     /// After this it may not begin any more: the window in which a repeat is dropped is over.
-    pub latest: Option<Time>,
+    pub start_before: Option<Time>,
 }
 
 /// What the loop is to do, in order.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Send an attempt; those of one step to one server share frames.
-    Send(Send),
+    Send(SendAttempt),
     /// Give an attempt up and bring back its outcome.
     Cancel(AttemptId),
     /// Take an attempt back if nothing of it has been written: its query is over.
-    TakeBack(AttemptId),
+    Withdraw(AttemptId),
     /// Close the idle connections to a server.
     CloseIdle(ServerId),
     /// Probe a server.
     Probe(ServerId),
     /// Give a query its final answer.
-    Finish(Ticket, Final),
+    Finish(ReplyId, FinalAnswer),
     /// Bring back a timer of the module's.
-    Arm(Time, TimerId),
+    SetTimer(Time, TimerId),
     /// Bring back the deadline of a query.
-    ArmDeadline(Time, QueryId),
+    SetDeadline(Time, QueryId),
     /// Ask discovery anew.
     WatchServers,
 }
@@ -149,18 +149,18 @@
 
 /// The names of a query that was taken.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct QueryNames {
     /// The query.
     pub query: QueryId,
     /// Its external name.
     pub name: Arc<str>,
     /// Its idempotency key, in a keyed class.
-    pub idempotency: Option<Arc<str>>,
+    pub idempotency_key: Option<Arc<str>>,
 }
 
 /// All that a step was about, for whoever records it.
 #[derive(Clone, Debug, Default)]
-pub struct Observed {
+pub struct StepRecord {
     /// The step's number, from 1.
     pub sequence: u64,
     /// When it was.
@@ -170,20 +170,20 @@
     /// What it asked for.
     pub actions: Vec<Action>,
     /// The names of the queries among the events.
-    pub named: Vec<Names>,
+    pub query_names: Vec<QueryNames>,
     /// Servers named since the last step.
-    pub servers: Vec<(ServerId, String)>,
+    pub new_servers: Vec<(ServerId, String)>,
     /// Versions of the lists among the events.
-    pub versions: Vec<u64>,
+    pub list_versions: Vec<u64>,
     /// Queries that were not taken since the last step, by class.
-    pub not_taken: Vec<(usize, NotTaken)>,
+    pub not_accepted: Vec<(usize, NotAccepted)>,
     /// What the broker has to say of itself.
     pub note: String,
 }
 
 struct Open {
     name: Arc<str>,
-    ticket: Ticket,
+    ticket: ReplyId,
     class: usize,
     idempotency: Option<Arc<str>>,
     text: Arc<str>,
@@ -233,10 +233,10 @@
     /// Attempts of queries that are over: they are taken back where nothing of them was written.
     over: Vec<AttemptId>,
     /// What has gathered for whoever records, where anybody does.
-    observed: Option<Box<Observed>>,
+    observed: Option<Box<StepRecord>>,
     sequence: u64,
     /// What this broker has to say to others, where it may.
-    word: Option<Word>,
+    word: Option<Gossip>,
 }
 
 impl Core {
@@ -246,9 +246,10 @@
     ///
     /// When the module does not take its settings.
     pub fn new(settings: Arc<SiteSettings>, seed: u64) -> Result<Self, SettingsError> {
-        let router = Router::new(settings.module.clone(), seed)?;
-        let aim = settings.module.shortest_aim();
-        let word = |(me, price)| Word::new(me, settings.module.front_nodes as usize, price, aim, seed);
+        let router = Router::new(settings.router.clone(), seed)?;
+        let aim = settings.router.shortest_aim();
+        let brokers = settings.router.front_nodes as usize;
+        let word = |peers: PeerSettings| Gossip::new(peers.index, brokers, peers.price, aim, seed);
         let word = settings.peers.and_then(word);
         Ok(Core {
             settings,
@@ -277,12 +278,12 @@
     /// not of keyed or unsafe ones either:
     ///
     /// - A query that is open here is answered here, exactly once, and its parts go out again only from here:
-    ///   `may_have_run` and [`Send::latest`] are kept for each part of an open query and end with it, in `close`.
+    ///   `may_have_run` and [`SendAttempt::start_before`] are kept for each part of an open query and end with it, in `close`.
     /// - A client's own retry is a new query, whichever process takes it: no process keeps an idempotency key
     ///   beyond the query that brought it. The key goes out with each part, and the servers drop what they have
     ///   run under it within the class's window. That holds whichever process sent the first attempt.
-    /// - A class that is [`Effect::Unsafe`] has no key. A query of it that may have run ends as [`Final::Failed`],
-    ///   which invites no retry, and one that is [`Final::Refused`] never ran.
+    /// - A class that is [`RetrySafety::Unsafe`] has no key. A query of it that may have run ends as [`FinalAnswer::Failed`],
+    ///   which invites no retry, and one that is [`FinalAnswer::Refused`] never ran.
     ///
     /// Word for other brokers that is not said yet is dropped, and ids of queries and parts start anew: they are
     /// names within one process.
@@ -333,19 +334,19 @@
         self.router.avoided()
     }
 
-    /// Keeps what each step was about from now on, for [`Core::observed`].
-    pub fn observe(&mut self) {
+    /// Keeps what each step was about from now on, for [`Core::take_step_record`].
+    pub fn enable_recording(&mut self) {
         self.observed = Some(Box::default());
     }
 
     /// What the last step was about. To be asked for after each step, or it adds up.
-    pub fn observed(&mut self) -> Option<Observed> {
+    pub fn take_step_record(&mut self) -> Option<StepRecord> {
         let observed = self.observed.as_mut()?;
         (observed.sequence > 0).then(|| std::mem::take(&mut **observed))
     }
 
     /// What the broker has to say of itself goes with the next step.
-    pub fn note(&mut self, note: &str) {
+    pub fn add_note(&mut self, note: &str) {
         if let Some(observed) = &mut self.observed {
             if !observed.note.is_empty() {
                 observed.note.push_str("; ");
@@ -356,8 +357,8 @@
 
     /// How long a client stays away that is refused before anything was decided: as long as the module says.
     fn hold_off(&self, class: usize) -> Duration {
-        let module = &self.settings.module;
-        module.classes[class].aim.mul_f64(HOLD_OFF_SHARE).min(module.max_hold_off)
+        let module = &self.settings.router;
+        module.classes[class].aim.mul_f64(HOLD_OFF_SHARE).min(module.max_retry_after)
     }
 
     /// Takes a query: from here on it is owed exactly one final answer.
@@ -365,15 +366,15 @@
     /// # Errors
     ///
     /// When it is not taken.
-    pub fn take(&mut self, now: Time, query: NewQuery, ticket: Ticket) -> Result<QueryId, NotTaken> {
+    pub fn accept(&mut self, now: Time, query: NewQuery, ticket: ReplyId) -> Result<QueryId, NotAccepted> {
         let why = if self.queries.len() + self.parts.len() >= self.settings.max_open {
-            Some(NotTaken::Full { hold_off: self.hold_off(query.class) })
+            Some(NotAccepted::AtCapacity { retry_after: self.hold_off(query.class) })
         } else {
-            self.names.contains_key(query.name.as_str()).then_some(NotTaken::NameInUse)
+            self.names.contains_key(query.name.as_str()).then_some(NotAccepted::NameInUse)
         };
         if let Some(why) = why {
             if let Some(observed) = &mut self.observed {
-                observed.not_taken.push((query.class, why));
+                observed.not_accepted.push((query.class, why));
             }
             return Err(why);
         }
@@ -385,8 +386,8 @@
             class: query.class,
             tenant: query.tenant,
             key: query.key,
-            repeated: query.repeated,
-            left: query.left,
+            is_retry: query.is_retry,
+            time_left: query.time_left,
         }));
         let mut parts = Vec::with_capacity(query.parts.len());
         for (index, NewPart { shard, weight, hint }) in query.parts.into_iter().enumerate() {
@@ -398,17 +399,21 @@
         }
         let name: Arc<str> = query.name.into();
         self.names.insert(name.clone(), id);
-        let idempotency: Option<Arc<str>> = query.idempotency.map(Into::into);
+        let idempotency: Option<Arc<str>> = query.idempotency_key.map(Into::into);
         if let Some(observed) = &mut self.observed {
-            observed.named.push(Names { query: id, name: name.clone(), idempotency: idempotency.clone() });
+            observed.query_names.push(QueryNames {
+                query: id,
+                name: name.clone(),
+                idempotency_key: idempotency.clone(),
+            });
         }
         let open = Open {
             name,
             ticket,
             class: query.class,
             idempotency,
-            text: query.text.into(),
-            ends_at: now.after(query.left),
+            text: query.body.into(),
+            ends_at: now.after(query.time_left),
             parts,
         };
         self.queries.insert(id, open);
@@ -428,12 +433,12 @@
     }
 
     /// Whom the open query of this name is answered to.
-    pub fn holder(&self, name: &str) -> Option<Ticket> {
+    pub fn reply_id_of(&self, name: &str) -> Option<ReplyId> {
         Some(self.queries.get(self.names.get(name)?)?.ticket)
     }
 
     /// There is no time for what is open: each query fails.
-    pub fn fail_open(&mut self) -> Vec<Command> {
+    pub fn fail_open_queries(&mut self) -> Vec<Command> {
         let mut ids: Vec<QueryId> = self.queries.keys().copied().collect();
         ids.sort_unstable();
         ids.into_iter().filter_map(|id| self.fail(id)).collect()
@@ -442,12 +447,12 @@
     fn fail(&mut self, id: QueryId) -> Option<Command> {
         let open = self.close(id)?;
         self.events.push(Event::ClientGone(id));
-        Some(Command::Finish(open.ticket, Final::Failed))
+        Some(Command::Finish(open.ticket, FinalAnswer::Failed))
     }
 
     /// Guards the rule that a query ends before its client's time does, should the module ever hold one
     /// longer: fails a query whose time is over.
-    pub fn deadline(&mut self, now: Time, id: QueryId) -> Option<Command> {
+    pub fn check_deadline(&mut self, now: Time, id: QueryId) -> Option<Command> {
         if self.queries.get(&id)?.ends_at > now {
             return None;
         }
@@ -468,7 +473,10 @@
         if let Some(word) = &mut self.word {
             // One that was withdrawn for the server's silence is as one that was never answered.
             let verdict = if attempt.silent { Verdict::NoAnswer } else { verdict };
-            word.saw(now, Sighting { server: short(attempt.server), class: attempt.class, verdict, took });
+            word.record(
+                now,
+                Observation { server: short_id(attempt.server), class: attempt.class, verdict, took },
+            );
         }
         if let Some(entry) = self.parts.get(&id.0)
             && let Some(open) = self.queries.get_mut(&entry.query)
@@ -490,28 +498,28 @@
     }
 
     /// Gives the datagrams for other brokers that are due, each with the numbers of those who are to hear it.
-    pub fn say(&mut self, now: Time) -> Vec<(Vec<u8>, Vec<usize>)> {
-        self.word.as_mut().map(|word| word.say(now)).unwrap_or_default()
+    pub fn take_gossip(&mut self, now: Time) -> Vec<(Vec<u8>, Vec<usize>)> {
+        self.word.as_mut().map(|word| word.take_due(now)).unwrap_or_default()
     }
 
     /// When something is to be said at the latest.
-    pub fn say_at(&self) -> Option<Time> {
-        self.word.as_ref().and_then(Word::due)
+    pub fn gossip_due(&self) -> Option<Time> {
+        self.word.as_ref().and_then(Gossip::due)
     }
 
     /// Whether brokers may say anything to each other, and would.
-    pub fn talks(&self) -> bool {
+    pub fn gossip_enabled(&self) -> bool {
         self.word.is_some()
     }
 
     /// Takes a datagram of another broker; what it says of servers that are not listed here is left out.
-    pub fn told(&mut self, bytes: &[u8]) {
+    pub fn receive_gossip(&mut self, bytes: &[u8]) {
         if self.word.is_none() {
             return;
         }
-        for Sighting { server, class, verdict, took } in word::read(bytes) {
+        for Observation { server, class, verdict, took } in gossip::decode(bytes) {
             let Some(server) = self.shorts.get(&server).copied() else { continue };
-            self.events.push(Event::Told { server, class, verdict, took });
+            self.events.push(Event::PeerOutcome { server, class, verdict, took });
         }
     }
 
@@ -528,7 +536,7 @@
     /// Takes a list of servers, whole or of changes, and gives who may no longer be sent anything. `version` is the
     /// list's number, for the record; `until` is when those that drain may be sent nothing more, where what the list
     /// says was told just now: whoever takes it ends them by then, if they still are [`Core::is_draining`].
-    pub fn take_list(
+    pub fn apply_server_list(
         &mut self,
         whole: bool,
         version: u64,
@@ -536,7 +544,7 @@
         until: Option<Time>,
     ) -> Vec<ServerId> {
         if let Some(observed) = &mut self.observed {
-            observed.versions.push(version);
+            observed.list_versions.push(version);
         }
         let before = if whole { std::mem::take(&mut self.listed) } else { HashMap::new() };
         let mut stopped: Vec<ServerId> = Vec::new();
@@ -553,13 +561,13 @@
                 stopped.push(server);
             }
             let zone = self.settings.zones.iter().position(|zone| *zone == member.zone);
-            lines.push(Listed {
+            lines.push(ServerEntry {
                 server,
                 zone: zone.map_or(u32::MAX, |zone| zone as u32),
                 cell: member.cell,
                 state: member.state,
                 started: member.started,
-                until,
+                send_until: until,
             });
         }
         if whole {
@@ -573,7 +581,7 @@
         // Names that are gone do not come back: kept, they would add up over a long day.
         self.ids.retain(|_, id| self.listed.contains_key(id));
         self.servers.retain(|id, _| self.listed.contains_key(id));
-        self.shorts = self.listed.keys().map(|id| (short(*id), *id)).collect();
+        self.shorts = self.listed.keys().map(|id| (short_id(*id), *id)).collect();
         stopped
     }
 
@@ -591,7 +599,7 @@
         }
         self.servers.insert(id, name.to_owned());
         if let Some(observed) = &mut self.observed {
-            observed.servers.push((id, name.to_owned()));
+            observed.new_servers.push((id, name.to_owned()));
         }
         self.ids.insert(name.to_owned(), id);
         id
@@ -603,34 +611,34 @@
     }
 
     /// How many servers are listed as running, and how many as draining.
-    pub fn listed(&self) -> (usize, usize) {
+    pub fn server_counts(&self) -> (usize, usize) {
         let up = self.listed.values().filter(|state| **state == ServerState::Up).count();
         (up, self.listed.len() - up)
     }
 
     /// Whether a server that runs is listed.
     pub fn can_serve(&self) -> bool {
-        self.listed().0 > 0
+        self.server_counts().0 > 0
     }
 
     /// Whether a part's query is open.
-    pub fn waits_for(&self, part: PartId) -> bool {
+    pub fn is_part_open(&self, part: PartId) -> bool {
         self.parts.contains_key(&part)
     }
 
     /// Queries that are owed an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_queries(&self) -> usize {
         self.queries.len()
     }
 
     /// Whether anything has happened since the last step.
-    pub fn has_news(&self) -> bool {
+    pub fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
     /// The attempts of queries that have ended since the last step, to be taken back where nothing of them was written.
-    pub fn take_back_over(&mut self) -> impl Iterator<Item = Command> + use<> {
-        std::mem::take(&mut self.over).into_iter().map(Command::TakeBack)
+    pub fn withdraw_ended(&mut self) -> impl Iterator<Item = Command> + use<> {
+        std::mem::take(&mut self.over).into_iter().map(Command::Withdraw)
     }
 
     /// Hands all that has happened to the module and gives what it wants done.
@@ -642,7 +650,7 @@
             if let Event::Query(query) = event
                 && let Some(open) = self.queries.get(&query.id)
             {
-                query.left = open.ends_at.since(now);
+                query.time_left = open.ends_at.since(now);
             }
         }
         self.router.step(now, &events, &mut actions);
@@ -651,7 +659,7 @@
             if let Event::Query(query) = event
                 && let Some(open) = self.queries.get(&query.id)
             {
-                commands.push(Command::ArmDeadline(open.ends_at, query.id));
+                commands.push(Command::SetDeadline(open.ends_at, query.id));
             }
         }
         self.sequence += 1;
@@ -667,7 +675,7 @@
         for action in actions.drain(..) {
             commands.extend(self.carry_out(now, action));
         }
-        commands.extend(self.take_back_over());
+        commands.extend(self.withdraw_ended());
         // What was refused on the spot came in meanwhile.
         events.append(&mut self.events);
         (self.events, self.actions) = (events, actions);
@@ -675,23 +683,25 @@
 
     fn carry_out(&mut self, now: Time, action: Action) -> Option<Command> {
         Some(match action {
-            Action::Send { part, server, time_out, .. } => return self.send(now, part, server, time_out),
+            Action::Send { part, server, timeout: time_out, .. } => {
+                return self.send(now, part, server, time_out);
+            }
             Action::Cancel { part, attempt, why } => {
-                self.attempts.get_mut(&(part, attempt))?.silent = why == Withdrawn::Silent;
+                self.attempts.get_mut(&(part, attempt))?.silent = why == CancelReason::Unresponsive;
                 Command::Cancel((part, attempt))
             }
             Action::CloseIdle { server } => Command::CloseIdle(server),
             Action::Probe { server } => Command::Probe(server),
-            Action::Answer { query, whole, .. } => {
+            Action::Answer { query, complete: whole, .. } => {
                 let open = self.close(query)?;
                 let values = open.parts.into_iter().map(|part| (part.shard, part.value)).collect();
-                Command::Finish(open.ticket, Final::Answered { whole, values })
+                Command::Finish(open.ticket, FinalAnswer::Answered { complete: whole, values })
             }
-            Action::Refuse { query, hold_off, .. } => {
-                Command::Finish(self.close(query)?.ticket, Final::Refused { hold_off })
+            Action::Refuse { query, retry_after: hold_off, .. } => {
+                Command::Finish(self.close(query)?.ticket, FinalAnswer::Refused { retry_after: hold_off })
             }
-            Action::Fail { query, .. } => Command::Finish(self.close(query)?.ticket, Final::Failed),
-            Action::SetTimer { timer, at } => Command::Arm(at, timer),
+            Action::Fail { query, .. } => Command::Finish(self.close(query)?.ticket, FinalAnswer::Failed),
+            Action::SetTimer { timer, at } => Command::SetTimer(at, timer),
             Action::WatchServers => Command::WatchServers,
         })
     }
@@ -702,21 +712,23 @@
         let number = entry.attempts;
         entry.attempts += 1;
         let class = open.class;
-        let latest = match self.settings.module.classes[class].effect {
-            Effect::Keyed(window) => open.parts[entry.index].may_have_run.map(|first| first.after(window)),
-            Effect::Safe | Effect::Unsafe => None,
+        let latest = match self.settings.router.classes[class].retry_safety {
+            RetrySafety::Keyed(window) => {
+                open.parts[entry.index].may_have_run.map(|first| first.after(window))
+            }
+            RetrySafety::Safe | RetrySafety::Unsafe => None,
         };
         self.attempts.insert((part, number), Attempt { sent: now, server, class, silent: false });
-        Some(Command::Send(Send {
+        Some(Command::Send(SendAttempt {
             attempt: (part, number),
             server,
             query: open.name.clone(),
             shard: open.parts[entry.index].shard,
-            idempotency: open.idempotency.clone(),
-            text: open.text.clone(),
-            aim: self.settings.module.classes[class].aim,
-            until: now.after(time_out).min(open.ends_at),
-            latest,
+            idempotency_key: open.idempotency.clone(),
+            body: open.text.clone(),
+            aim: self.settings.router.classes[class].aim,
+            deadline: now.after(time_out).min(open.ends_at),
+            start_before: latest,
         }))
     }
 
--- a/crates/core/src/core/tests.rs
+++ b/crates/core/src/core/tests.rs
@@ -12,11 +12,11 @@
         |name: &str, state| Member { name: name.into(), zone: "z".into(), cell: 0, state, started: None };
     for number in 0..100 {
         let (old, new) = (format!("s-{number}"), format!("s-{}", number + 1));
-        core.take_list(number % 10 == 0, number, &[member(&new, ServerState::Up)], None);
-        core.take_list(false, number, &[member(&old, ServerState::Removed)], None);
+        core.apply_server_list(number % 10 == 0, number, &[member(&new, ServerState::Up)], None);
+        core.apply_server_list(false, number, &[member(&old, ServerState::Removed)], None);
     }
-    assert_eq!((core.ids.len(), core.servers.len(), core.listed()), (1, 1, (1, 0)));
+    assert_eq!((core.ids.len(), core.servers.len(), core.server_counts()), (1, 1, (1, 0)));
     let id = core.server_id("s-100");
-    core.take_list(true, 1, &[member("s-100", ServerState::Up)], None);
+    core.apply_server_list(true, 1, &[member("s-100", ServerState::Up)], None);
     assert_eq!(core.server_id("s-100"), id);
 }
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -119,7 +119,7 @@
 /// What is known of a server.
 #[derive(Clone, Default)]
 struct Server {
-    listed: Listed,
+    listed: ServerEntry,
     fit: Fit,
     /// What its last attempts took at the least, in units, fading: a bound as the age of one out is.
     bound: f64,
@@ -182,7 +182,7 @@
     tried: Vec<ServerId>,
     /// Whether it was taken back from a silent server, and why it is not out.
     silent: bool,
-    missing: Missing,
+    missing: MissingReason,
     /// When the first attempt that may have run was sent.
     may_have_run: Option<Time>,
 }
@@ -362,7 +362,7 @@
             Event::ServersFailed if self.settings.list_on_request => {
                 self.watch_at = Some(self.now.after(Duration::from_secs_f64(self.mean_aim)));
             }
-            Event::Told { server, class, verdict, took } => {
+            Event::PeerOutcome { server, class, verdict, took } => {
                 self.hear(*server, *class, *verdict, took.as_secs_f64() / self.unit);
             }
             Event::Timer(_) | Event::ServersFailed | Event::Probed { .. } => {}
@@ -382,12 +382,12 @@
         // First tries of a class come with the same time left; less or more than that is what remained to a
         // client, from whose first try the aim counts. Hurts clients that are impatient by nature.
         let memory = &mut self.classes[query.class];
-        let alike = query.left.abs_diff(memory.usual) <= self.margin;
+        let alike = query.time_left.abs_diff(memory.usual) <= self.margin;
         memory.votes = if alike { memory.votes.saturating_add(1) } else { memory.votes.saturating_sub(1) };
-        memory.usual = if memory.votes == 0 { query.left } else { memory.usual };
-        let odd = !alike && query.left != memory.usual && !self.settings.repeats_marked;
-        let again = query.repeated || odd;
-        let waited = if again { class.deadline.saturating_sub(query.left) } else { Duration::ZERO };
+        memory.usual = if memory.votes == 0 { query.time_left } else { memory.usual };
+        let odd = !alike && query.time_left != memory.usual && !self.settings.retries_marked;
+        let again = query.is_retry || odd;
+        let waited = if again { class.deadline.saturating_sub(query.time_left) } else { Duration::ZERO };
         let state = QueryState {
             id: query.id,
             number: query.number,
@@ -395,7 +395,7 @@
             worth,
             hash: mix(query.key.unwrap_or(query.id.0 ^ self.seed)),
             aim_at: self.now.before(waited).after(class.aim),
-            ends_at: self.now.after(query.left),
+            ends_at: self.now.after(query.time_left),
             ..QueryState::default()
         };
         self.queries.insert(query.number, state);
@@ -419,15 +419,15 @@
         query.parts.push(PartState { id: part.id, shard: part.shard, weight, hint, ..PartState::default() });
     }
 
-    fn take_list(&mut self, list: &[Listed]) {
+    fn take_list(&mut self, list: &[ServerEntry]) {
         for listed in list {
-            let listed = Listed { cell: listed.cell % self.settings.cells, ..listed.clone() };
+            let listed = ServerEntry { cell: listed.cell % self.settings.cells, ..listed.clone() };
             let known = self.servers.get_mut(&listed.server).map(|server| &mut server.listed);
             if listed.state == ServerState::Removed {
                 self.servers.remove(&listed.server);
             } else if let Some(known) = known.filter(|k| k.started == listed.started) {
-                let until = if known.state == listed.state { known.until } else { listed.until };
-                *known = Listed { until, ..listed };
+                let until = if known.state == listed.state { known.send_until } else { listed.send_until };
+                *known = ServerEntry { send_until: until, ..listed };
             } else {
                 // A restart resets the fit: the process that comes back has nothing of the old one's trouble.
                 self.servers.insert(listed.server, self.hand_over.server(listed));
@@ -509,7 +509,7 @@
         if own {
             server.last_used = if silent { Time(0) } else { self.now };
         }
-        if matches!(verdict, Verdict::Served | Verdict::Error | Verdict::TurnedAway) {
+        if matches!(verdict, Verdict::Served | Verdict::Error | Verdict::Rejected) {
             server.heard = self.now;
         }
         if let Some(fresh) = attempt.fresh {
@@ -541,7 +541,7 @@
                 server.bound = server.bound.max(took);
             }
             // Its waiting room is full: it takes an aim and more.
-            Verdict::TurnedAway => {
+            Verdict::Rejected => {
                 server.bound = server.bound.max(self.mean_aim / self.unit);
                 server.bad += 1.0;
             }
@@ -662,7 +662,12 @@
     }
 
     /// The replica for a part: home first, else the least busy, if it can finish within `allowed` units.
-    fn choose(&mut self, query: &QueryState, part: &PartState, allowed: f64) -> Result<Candidate, Missing> {
+    fn choose(
+        &mut self,
+        query: &QueryState,
+        part: &PartState,
+        allowed: f64,
+    ) -> Result<Candidate, MissingReason> {
         let holders = self.holders(part.shard);
         holders.iter().for_each(|id| self.refresh(*id));
         let (settings, least) = (&self.settings, self.classes[query.class].least);
@@ -672,7 +677,7 @@
         let mut candidates: Vec<Candidate> = Vec::new();
         let needed = query.parts.iter().filter(|p| !p.served).count().max(1) as f64;
         let spreads = CHECK_SPREADS + if self.is_told() { TOLD_SPREADS * needed.ln() } else { 0.0 };
-        let mut closed: Option<((bool, bool, u64), ServerId, Left)> = None;
+        let mut closed: Option<((bool, bool, u64), ServerId, BypassReason)> = None;
         for &id in &holders {
             let Some(server) = self.servers.get(&id) else { continue };
             let (calls, overdue) = self.out.get(&id).map_or((0, 0.0), |out| (out.calls.len(), out.overdue));
@@ -685,11 +690,11 @@
             let home = (drawn, !crosses, mix(query.hash ^ mix(shard ^ mix(id.0 ^ 0x5eed))));
             // One that drains takes, for as long as the rules allow, what others would take much longer for.
             let up = server.listed.state == ServerState::Up;
-            let shut = match up || server.listed.until.is_some_and(|until| self.now < until) {
-                true if busy.contains(&id) => Some(Left::Tried),
+            let shut = match up || server.listed.send_until.is_some_and(|until| self.now < until) {
+                true if busy.contains(&id) => Some(BypassReason::Tried),
                 true if room.is_some() => None,
-                true => Some(Left::Cold),
-                false => Some(Left::Draining),
+                true => Some(BypassReason::Cold),
+                false => Some(BypassReason::Draining),
             };
             if let Some(left) = shut {
                 closed = closed.max(Some((home, id, left)));
@@ -725,25 +730,25 @@
             });
         }
         candidates.sort_by(|a, b| a.tried.cmp(&b.tried).then(a.score.total_cmp(&b.score)));
-        let best = candidates.first().ok_or(Missing::Closed)?.score;
+        let best = candidates.first().ok_or(MissingReason::NoReplica)?.score;
         let home = candidates.iter().enumerate().max_by_key(|(_, c)| c.home).map_or(0, |(index, _)| index);
         let c = &candidates[home];
         let left = match c.score <= HOME_RATIO * best {
-            _ if c.tried => Some(if part.silent { Left::Silent } else { Left::Tried }),
-            _ if c.calls > HOME_CALLS => Some(Left::Busy),
+            _ if c.tried => Some(if part.silent { BypassReason::Unresponsive } else { BypassReason::Tried }),
+            _ if c.calls > HOME_CALLS => Some(BypassReason::Busy),
             true => None,
-            false if c.score <= HOME_RATIO * best * c.doubt => Some(Left::Doubtful),
-            false => Some(Left::Slow),
+            false if c.score <= HOME_RATIO * best * c.doubt => Some(BypassReason::Suspect),
+            false => Some(BypassReason::Slow),
         };
-        let own = (c.server, left.unwrap_or(Left::Late));
+        let own = (c.server, left.unwrap_or(BypassReason::Late));
         let (first, left_for) = closed.filter(|shut| shut.0 > c.home).map_or(own, |(_, id, why)| (id, why));
         if left.is_none() {
             candidates[..=home].rotate_right(1);
         }
-        let mut c = candidates.into_iter().find(|c| c.upper <= allowed).ok_or(Missing::Late)?;
+        let mut c = candidates.into_iter().find(|c| c.upper <= allowed).ok_or(MissingReason::Late)?;
         let (predicted, allowed) = ((c.upper * self.unit) as f32, (allowed * self.unit) as f32);
         let left = (c.server != first).then_some(left_for);
-        c.why = Some(Choice { home: first, left, predicted, allowed });
+        c.why = Some(Choice { home: first, bypassed: left, predicted, allowed });
         Ok(c)
     }
 
@@ -752,7 +757,7 @@
         match self.judge(&mut query, actions) {
             Fate::Open => drop(self.queries.insert(number, query)),
             Fate::Answer { whole, cause } => {
-                actions.push(Action::Answer { query: query.id, whole, why: query.ending(cause) });
+                actions.push(Action::Answer { query: query.id, complete: whole, why: query.ending(cause) });
                 self.cancel_all(&mut query, actions);
                 if self.settings.classes[query.class].follow_up > 0 && !query.second_step {
                     query.second_step = true;
@@ -765,12 +770,12 @@
                 let why = query.ending(cause);
                 let class = &self.settings.classes[query.class];
                 let ran = |p: &PartState| p.may_have_run.is_some() || !p.live.is_empty();
-                if class.effect == Effect::Safe || !query.parts.iter().any(ran) {
+                if class.retry_safety == RetrySafety::Safe || !query.parts.iter().any(ran) {
                     // Past the aim another try may earn nothing: then the longer it stays away the better.
                     let over = self.now.after(self.margin) >= query.aim_at && class.late_share == 0.0;
                     let stay = if over { class.deadline } else { class.aim.mul_f64(HOLD_OFF_SHARE) };
-                    let (query, hold_off) = (query.id, stay.min(self.settings.max_hold_off));
-                    actions.push(Action::Refuse { query, hold_off, why });
+                    let (query, hold_off) = (query.id, stay.min(self.settings.max_retry_after));
+                    actions.push(Action::Refuse { query, retry_after: hold_off, why });
                 } else {
                     actions.push(Action::Fail { query: query.id, why });
                 }
@@ -786,10 +791,11 @@
         let floor = if class.floor < class.need { class.floor } else { need };
         let held: f64 = query.parts.iter().filter(|p| p.served).map(|p| p.weight).sum();
         if held >= need - EPSILON && !query.parts.is_empty() {
-            return Fate::Answer { whole: !query.first_partial, cause: Cause::Whole };
+            return Fate::Answer { whole: !query.first_partial, cause: Cause::Complete };
         }
         let ends_at = query.ends_at.before(self.margin);
-        let aim_at = query.aim_at.before(self.margin.saturating_add(self.settings.on_the_way)).min(ends_at);
+        let aim_at =
+            query.aim_at.before(self.margin.saturating_add(self.settings.network_allowance)).min(ends_at);
         let partial = held >= floor - EPSILON && floor < need && held > 0.0;
         // After the aim all that may yet come earns the late share: what is in hand at the aim may earn more.
         let in_hand = if partial { class.partial_worth * held / need } else { 0.0 };
@@ -811,7 +817,7 @@
         self.leave_silent(query, left - reserve, actions);
         let (reachable, pending) = self.send_parts(query, left - reserve, actions);
         if reachable < floor - EPSILON || !pending {
-            return end(if reachable < floor - EPSILON { Cause::TooLittle } else { Cause::NothingOut });
+            return end(if reachable < floor - EPSILON { Cause::BelowFloor } else { Cause::NothingInFlight });
         }
         Fate::Open
     }
@@ -831,7 +837,8 @@
                 waiting.push(index);
             } else {
                 let spent = part.attempts >= self.settings.max_attempts;
-                query.parts[index].missing = if spent { Missing::Spent } else { Missing::Risk };
+                query.parts[index].missing =
+                    if spent { MissingReason::AttemptsExhausted } else { MissingReason::UnsafeToRetry };
             }
         }
         waiting.sort_by(|&a, &b| query.parts[b].weight.total_cmp(&query.parts[a].weight));
@@ -847,7 +854,7 @@
         for index in waiting {
             let again = usize::from(query.parts[index].attempts > 0);
             if again > further {
-                query.parts[index].missing = Missing::Budget;
+                query.parts[index].missing = MissingReason::BudgetExhausted;
                 continue;
             }
             let patience = self.patience(query, index, reachable);
@@ -861,8 +868,8 @@
             let short = (self.shortest * patience + own).min(allowed);
             let allowed = if far { short } else { allowed * patience };
             let choice = self.choose(query, &query.parts[index], allowed);
-            query.parts[index].missing = choice.as_ref().err().copied().unwrap_or(Missing::Held);
-            if begun && query.parts[index].missing == Missing::Late {
+            query.parts[index].missing = choice.as_ref().err().copied().unwrap_or(MissingReason::Withheld);
+            if begun && query.parts[index].missing == MissingReason::Late {
                 waits = true;
                 reachable += query.parts[index].weight;
             } else if let Ok(choice) = choice {
@@ -903,7 +910,11 @@
                 && let Some(attempt) = self.attempts.get_mut(&(part.id, number))
             {
                 attempt.left = true;
-                actions.push(Action::Cancel { part: part.id, attempt: number, why: Withdrawn::Silent });
+                actions.push(Action::Cancel {
+                    part: part.id,
+                    attempt: number,
+                    why: CancelReason::Unresponsive,
+                });
             }
         }
     }
@@ -932,10 +943,10 @@
     fn may_repeat(&self, query: &QueryState, part: &PartState) -> bool {
         let out = part.live.iter().filter_map(|n| self.attempts.get(&(part.id, *n)).map(|a| a.sent)).min();
         let first = part.may_have_run.into_iter().chain(out).min();
-        match (self.settings.classes[query.class].effect, first) {
-            (Effect::Safe, _) | (_, None) => true,
-            (Effect::Keyed(window), Some(first)) => self.now.after(self.margin) <= first.after(window),
-            (Effect::Unsafe, Some(_)) => false,
+        match (self.settings.classes[query.class].retry_safety, first) {
+            (RetrySafety::Safe, _) | (_, None) => true,
+            (RetrySafety::Keyed(window), Some(first)) => self.now.after(self.margin) <= first.after(window),
+            (RetrySafety::Unsafe, Some(_)) => false,
         }
     }
 
@@ -1007,7 +1018,7 @@
         let late = self.settings.classes[query.class].late_share > 0.0;
         let until = if late { query.ends_at } else { query.aim_at.min(query.ends_at) };
         let time_out = until.since(now).max(self.settings.tick);
-        actions.push(Action::Send { part: part.id, server: id, time_out, why });
+        actions.push(Action::Send { part: part.id, server: id, timeout: time_out, why });
     }
 
     fn cancel_all(&mut self, query: &mut QueryState, actions: &mut Vec<Action>) {
@@ -1017,7 +1028,11 @@
                     attempt.left = true;
                 }
                 if self.settings.cancel {
-                    actions.push(Action::Cancel { part: part.id, attempt: number, why: Withdrawn::Over });
+                    actions.push(Action::Cancel {
+                        part: part.id,
+                        attempt: number,
+                        why: CancelReason::QueryEnded,
+                    });
                 }
             }
         }
@@ -1042,7 +1057,7 @@
 
 impl QueryState {
     fn ending(&self, cause: Cause) -> Ending {
-        let why = |p: &PartState| if p.live.is_empty() { p.missing } else { Missing::Out };
+        let why = |p: &PartState| if p.live.is_empty() { p.missing } else { MissingReason::InFlight };
         Ending { cause, missing: self.parts.iter().filter(|p| !p.served).map(|p| (p.id, why(p))).collect() }
     }
 }
--- a/crates/core/src/decide/avoided.rs
+++ b/crates/core/src/decide/avoided.rs
@@ -115,7 +115,7 @@
         let rest = if calls == 0 { rest.max(0.0) } else { 0.0 };
         let excess = predicted * server.tries() * (1.0 + CHECK_SPREADS * server.fit.spread) - start;
         let upper = start + excess.min(0.0) + excess.max(0.0) * 0.5_f64.powf(rest);
-        let allowed = aim.saturating_sub(self.margin).saturating_sub(self.settings.on_the_way);
+        let allowed = aim.saturating_sub(self.margin).saturating_sub(self.settings.network_allowance);
         Standing {
             score: predicted * server.tries().powi(2),
             doubtful: server.tries() >= SILENT[1] || overdue > 0.0 || server.bound > fitted,
--- a/crates/core/src/decide/snapshot.rs
+++ b/crates/core/src/decide/snapshot.rs
@@ -33,7 +33,7 @@
 
 use self::budgets::Spending;
 use super::{ClassState, FEATURES, Features, Fit, Node, Router, Server};
-use crate::interface::{Listed, ServerId, Time};
+use crate::interface::{ServerEntry, ServerId, Time};
 
 /// Version of the snapshot's layout.
 pub const VERSION: u32 = 1;
@@ -281,7 +281,7 @@
     }
 
     /// The state of a server that is new in the list: what was taken over of the same process of it, if anything.
-    pub(super) fn server(&mut self, listed: Listed) -> Server {
+    pub(super) fn server(&mut self, listed: ServerEntry) -> Server {
         let known = self.servers.remove(&listed.server);
         let known = known.filter(|known| is_same_start(known.listed.started, listed.started));
         Server { listed, ..known.unwrap_or_default() }
@@ -432,7 +432,7 @@
         let mut cold_sends: Vec<(Time, f64)> = cold_sends.collect();
         cold_sends.sort_by_key(|(sent, _)| *sent);
         Server {
-            listed: Listed { started, ..Listed::default() },
+            listed: ServerEntry { started, ..ServerEntry::default() },
             fit: self.fit.fit(now),
             bound: self.bound,
             report: self.report,
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -53,7 +53,7 @@
 
 /// What repeating a part of a class may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum RetrySafety {
     /// Repeats do no harm.
     Safe,
     /// Servers drop a repeat for this long after the first attempt that may have run.
@@ -74,7 +74,7 @@
     /// Fraction of the worth that a later answer earns.
     pub late_share: f64,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     /// Share of the first step's weight that makes an answer whole.
     pub need: f64,
     /// Least share of the weight that any answer may rest on.
@@ -156,17 +156,17 @@
     pub tick: Duration,
     /// What passes of a client's time before its query is taken and after its answer is given, unseen here. The
     /// time left that comes with a query is less this already; its class's aim is not.
-    pub on_the_way: Duration,
+    pub network_allowance: Duration,
     /// Most attempts for one part.
     pub max_attempts: u32,
     /// Whether two attempts of one part may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
     /// Whether clients mark their repetitions.
-    pub repeats_marked: bool,
+    pub retries_marked: bool,
     /// Longest hold-off that clients heed; zero where they are told none.
-    pub max_hold_off: Duration,
+    pub max_retry_after: Duration,
     /// Whether the list of servers comes only when asked for.
     pub list_on_request: bool,
     /// Whether servers may be probed.
@@ -191,12 +191,12 @@
     /// The field at fault.
     pub field: &'static str,
     /// What is wrong with it.
-    pub fault: &'static str,
+    pub problem: &'static str,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "settings: {} {}", self.field, self.fault)
+        write!(f, "settings: {} {}", self.field, self.problem)
     }
 }
 
@@ -225,11 +225,11 @@
     ///
     /// Names the first field that cannot be.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        self.faults().into_iter().next().map_or(Ok(()), Err)
+        self.errors().into_iter().next().map_or(Ok(()), Err)
     }
 
     /// Every field that cannot be true.
-    pub fn faults(&self) -> Vec<SettingsError> {
+    pub fn errors(&self) -> Vec<SettingsError> {
         let finite = |x: f64| x.is_finite() && x >= 0.0;
         let fraction = |x: f64| (0.0..=1.0).contains(&x);
         let checks = [
@@ -269,7 +269,7 @@
             ("cold.fall_multiple", finite(self.cold.fall_multiple), "must be a finite amount"),
         ];
         let faulty = checks.into_iter().filter(|(_, holds, _)| !holds);
-        faulty.map(|(field, _, fault)| SettingsError { field, fault }).collect()
+        faulty.map(|(field, _, fault)| SettingsError { field, problem: fault }).collect()
     }
 }
 
@@ -287,9 +287,9 @@
     /// What it asks about, where the site has keys.
     pub key: Option<u64>,
     /// Whether its client marked it as a repetition.
-    pub repeated: bool,
+    pub is_retry: bool,
     /// Time until its client gives up this try.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// A part of a query, of its first step or its second.
@@ -315,7 +315,7 @@
     /// The server answered with an error; it may have run.
     Error,
     /// Turned away unseen: a full queue, or draining.
-    TurnedAway,
+    Rejected,
     /// No answer in time; it may have run, or may yet.
     NoAnswer,
     /// No connection in time; it never ran.
@@ -331,7 +331,7 @@
 impl Verdict {
     /// Whether this proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Verdict::TurnedAway | Verdict::NoConnection | Verdict::NotSent)
+        matches!(self, Verdict::Rejected | Verdict::NoConnection | Verdict::NotSent)
     }
 }
 
@@ -349,7 +349,7 @@
 
 /// A line of the server list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Listed {
+pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
     /// Its zone.
@@ -361,7 +361,7 @@
     /// When its process last started, if lately.
     pub started: Option<Time>,
     /// Until when it may still be sent anything, where it drains and this was told just now.
-    pub until: Option<Time>,
+    pub send_until: Option<Time>,
 }
 
 /// What happened since the last step.
@@ -400,13 +400,13 @@
     /// A timer fell due.
     Timer(TimerId),
     /// The whole list of servers; one that is absent is gone.
-    Servers(Vec<Listed>),
+    Servers(Vec<ServerEntry>),
     /// The lines of the list that changed.
-    ServersChanged(Vec<Listed>),
+    ServersChanged(Vec<ServerEntry>),
     /// The list could not be had; the last one stays valid.
     ServersFailed,
     /// Another front node tells how an attempt of its own ended.
-    Told {
+    PeerOutcome {
         /// The server.
         server: ServerId,
         /// The class asked.
@@ -420,7 +420,7 @@
 
 /// Why a part's home replica was left for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Left {
+pub enum BypassReason {
     /// Enough own calls are out there.
     Busy,
     /// Another is predicted to be so much faster.
@@ -428,7 +428,7 @@
     /// Its prediction is over what is left.
     Late,
     /// It failed, hung or was lost lately.
-    Doubtful,
+    Suspect,
     /// It drains.
     Draining,
     /// It has just started, and has been sent what it may take.
@@ -436,7 +436,7 @@
     /// The part was there before, or is.
     Tried,
     /// The part was there before and taken back, as nothing was heard.
-    Silent,
+    Unresponsive,
 }
 
 /// Why a part is sent where it is. It tells what was decided and changes nothing.
@@ -445,7 +445,7 @@
     /// The replica that the hash gives, among all that are listed.
     pub home: ServerId,
     /// Why that was left; none where the part goes there.
-    pub left: Option<Left>,
+    pub bypassed: Option<BypassReason>,
     /// Upper estimate of the part's time at the replica chosen, in seconds.
     pub predicted: f32,
     /// What it was allowed at that moment, in seconds.
@@ -454,46 +454,46 @@
 
 /// Why an attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withdrawn {
+pub enum CancelReason {
     /// Its query has ended.
-    Over,
+    QueryEnded,
     /// Its server has answered nothing since it was sent, and another may.
-    Silent,
+    Unresponsive,
 }
 
 /// Why a part is not in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Missing {
+pub enum MissingReason {
     /// Nothing was decided on it.
     #[default]
-    Unasked,
+    Undecided,
     /// An attempt is out.
-    Out,
+    InFlight,
     /// No replica was predicted to serve it in what was left.
     Late,
     /// No replica is listed, up, and may be sent anything.
-    Closed,
+    NoReplica,
     /// Its attempts are spent.
-    Spent,
+    AttemptsExhausted,
     /// It may have run, and must not be sent again.
-    Risk,
+    UnsafeToRetry,
     /// The budget of further attempts is spent.
-    Budget,
+    BudgetExhausted,
     /// It could have been sent, but too few others could.
-    Held,
+    Withheld,
 }
 
 /// What made a query end when it did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// All that a whole answer needs is in.
-    Whole,
+    Complete,
     /// Its time is up: the aim's, or its client's.
     TimeUp,
     /// What can still come in is less than any answer may rest on.
-    TooLittle,
+    BelowFloor,
     /// Nothing is out, and nothing more will be sent.
-    NothingOut,
+    NothingInFlight,
 }
 
 /// Why a query ends as it does.
@@ -502,7 +502,7 @@
     /// What made it end.
     pub cause: Cause,
     /// The parts that are not in, and why.
-    pub missing: Vec<(PartId, Missing)>,
+    pub missing: Vec<(PartId, MissingReason)>,
 }
 
 /// What the caller is to do, in order.
@@ -515,7 +515,7 @@
         /// To whom.
         server: ServerId,
         /// When the attempt is given up.
-        time_out: Duration,
+        timeout: Duration,
         /// Why there.
         why: Choice,
     },
@@ -536,14 +536,14 @@
         /// Number of the attempt.
         attempt: u32,
         /// Why.
-        why: Withdrawn,
+        why: CancelReason,
     },
     /// Answer a query from the parts that are in. A second step may follow.
     Answer {
         /// The query.
         query: QueryId,
         /// Whether the answer is marked whole.
-        whole: bool,
+        complete: bool,
         /// Why now.
         why: Ending,
     },
@@ -552,7 +552,7 @@
         /// The query.
         query: QueryId,
         /// How long the client should stay away.
-        hold_off: Duration,
+        retry_after: Duration,
         /// Why.
         why: Ending,
     },
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,8 +7,8 @@
 //!
 //! ```
 //! # use std::time::Duration;
-//! use badgergauge_core::{Action, Class, ColdStart, Effect, Event, Listed, LoadReport, Part, PartId, Query, QueryId};
-//! use badgergauge_core::{QueryNumber, Router, ServerId, ServerState, Settings, ShardId, Time, Verdict};
+//! use badgergauge_core::{Action, Class, ColdStart, Event, ServerEntry, LoadReport, Part, PartId, Query, QueryId};
+//! use badgergauge_core::{QueryNumber, Router, RetrySafety, ServerId, ServerState, Settings, ShardId, Time, Verdict};
 //!
 //! let settings = Settings {
 //!     front_nodes: 1,
@@ -18,7 +18,7 @@
 //!         deadline: Duration::from_secs(2),
 //!         worth: 1.0,
 //!         late_share: 0.0,
-//!         effect: Effect::Safe,
+//!         retry_safety: RetrySafety::Safe,
 //!         need: 1.0,
 //!         floor: 1.0,
 //!         partial_worth: 0.0,
@@ -33,16 +33,16 @@
 //!     call_cost: Duration::ZERO,
 //!     tick: Duration::from_millis(5),
 //!     max_attempts: 2,
-//!     second_copies: true,
+//!     hedging: true,
 //!     cancel: true,
 //!     may_probe: true,
 //!     reports_by_probe: false,
 //!     reports_queue: true,
-//!     repeats_marked: true,
-//!     max_hold_off: Duration::from_secs(1),
+//!     retries_marked: true,
+//!     max_retry_after: Duration::from_secs(1),
 //!     list_on_request: false,
 //!     cross_zone_price: 0.0,
-//!     on_the_way: Duration::ZERO,
+//!     network_allowance: Duration::ZERO,
 //!     handshake_price: 0.0,
 //!     budget: None,
 //!     cold: ColdStart {
@@ -55,15 +55,15 @@
 //! let mut router = Router::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! let server = Listed { server: ServerId(7), zone: 0, cell: 0, state: ServerState::Up, started: None, until: None };
+//! let server = ServerEntry { server: ServerId(7), zone: 0, cell: 0, state: ServerState::Up, started: None, send_until: None };
 //! let query = Query {
 //!     id: QueryId(1),
 //!     number: QueryNumber(1),
 //!     class: 0,
 //!     tenant: 0,
 //!     key: None,
-//!     repeated: false,
-//!     left: Duration::from_secs(2),
+//!     is_retry: false,
+//!     time_left: Duration::from_secs(2),
 //! };
 //! let part = Part { id: PartId(2), query: QueryNumber(1), shard: ShardId(0), weight: 1.0, hint: None };
 //! router.step(
@@ -90,7 +90,7 @@
 //!     load: LoadReport::default(),
 //! };
 //! router.step(Time(60_000_000), &[served], &mut actions);
-//! assert!(matches!(actions[0], Action::Answer { query: QueryId(1), whole: true, .. }));
+//! assert!(matches!(actions[0], Action::Answer { query: QueryId(1), complete: true, .. }));
 //! # Ok::<(), badgergauge_core::SettingsError>(())
 //! ```
 //!
@@ -106,9 +106,9 @@
 
 pub mod core;
 pub mod decide;
+pub mod gossip;
 pub mod interface;
 pub mod settings;
-pub mod word;
 
 pub use decide::Router;
 pub use decide::snapshot::budgets::Spending;
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -6,34 +6,34 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::interface::{Budget, Class, ColdStart, Effect, LoadReport, Settings, Tenant};
+use crate::interface::{Budget, Class, ColdStart, LoadReport, RetrySafety, Settings, Tenant};
 
 /// What is wrong with the settings, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsFault {
+pub struct SiteSettingsError {
     /// The key at fault, as a path.
     pub key: String,
     /// What is wrong with it.
-    pub fault: String,
+    pub problem: String,
 }
 
-impl fmt::Display for SettingsFault {
+impl fmt::Display for SiteSettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.key, self.fault)
+        write!(f, "{}: {}", self.key, self.problem)
     }
 }
 
-impl std::error::Error for SettingsFault {}
+impl std::error::Error for SiteSettingsError {}
 
-fn fault(key: &str, fault: String) -> SettingsFault {
-    SettingsFault { key: key.to_owned(), fault }
+fn fault(key: &str, fault: String) -> SiteSettingsError {
+    SiteSettingsError { key: key.to_owned(), problem: fault }
 }
 
 /// The settings: what the module takes, and what the broker round it needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteSettings {
     /// The module's part.
-    pub module: Settings,
+    pub router: Settings,
     /// Names of the classes, by index.
     pub classes: Vec<String>,
     /// Names of the zones, by index.
@@ -45,7 +45,7 @@
     /// Servers close connections that stand idle so long.
     pub connection_idle: Duration,
     /// Connections that are not made in this time are given up.
-    pub connect_time_out: Duration,
+    pub connect_timeout: Duration,
     /// Parts that one connection carries at once.
     pub max_streams: usize,
     /// What a probe costs, as a fraction of the worth of a part.
@@ -53,7 +53,16 @@
     /// After it was told that a server drains or is gone a broker may send to it for so long.
     pub drain_grace: Duration,
     /// This broker's number, and what a full message to another may cost; none where they may say nothing.
-    pub peers: Option<(usize, f64)>,
+    pub peers: Option<PeerSettings>,
+}
+
+/// Outcome messages between brokers, where they are allowed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PeerSettings {
+    /// This broker's index among all brokers.
+    pub index: usize,
+    /// Cost of a datagram of the maximum size, as a fraction of the worth of a part.
+    pub price: f64,
 }
 
 /// What a request and its answer spend on the way and in a broker's buffers, which it can't see.
@@ -65,7 +74,7 @@
     /// # Errors
     ///
     /// Names the first key at fault.
-    pub fn read(json: &Value) -> Result<Self, SettingsFault> {
+    pub fn read(json: &Value) -> Result<Self, SiteSettingsError> {
         let facts: Facts = serde_path_to_error::deserialize(json)
             .map_err(|error| fault(&error.path().to_string(), error.inner().to_string()))?;
         let positive = |key: &str, holds: bool| match holds {
@@ -78,17 +87,17 @@
         positive("limits.connectTimeoutNs", facts.limits.connect_timeout_ns > 0)?;
         positive("safety.drainGraceNs", facts.safety.drain_grace_ns > 0)?;
         Ok(SiteSettings {
-            module: facts.module()?,
+            router: facts.module()?,
             classes: facts.profiles.into_iter().map(|profile| profile.name).collect(),
             zones: facts.zones,
             tenants: facts.tenants.into_iter().map(|tenant| tenant.name).collect(),
             max_open: facts.limits.max_open,
             connection_idle: Duration::from_nanos(facts.limits.conn_idle_ns),
-            connect_time_out: Duration::from_nanos(facts.limits.connect_timeout_ns),
+            connect_timeout: Duration::from_nanos(facts.limits.connect_timeout_ns),
             max_streams: facts.limits.max_streams,
             probe_price: facts.prices.probe.max(0.0),
             drain_grace: Duration::from_nanos(facts.safety.drain_grace_ns),
-            peers: facts.limits.peers.then_some((facts.me, facts.prices.peer)),
+            peers: facts.limits.peers.then_some(PeerSettings { index: facts.me, price: facts.prices.peer }),
         })
     }
 }
@@ -240,7 +249,7 @@
 }
 
 impl Facts {
-    fn module(&self) -> Result<Settings, SettingsFault> {
+    fn module(&self) -> Result<Settings, SiteSettingsError> {
         let span = Duration::from_nanos;
         let safety = &self.safety;
         Ok(Settings {
@@ -255,15 +264,15 @@
             batch: self.extra.batch,
             call_cost: span(self.extra.call_ns),
             tick: span(self.granularity_ns),
-            on_the_way: ON_THE_WAY,
+            network_allowance: ON_THE_WAY,
             max_attempts: self.limits.max_attempts,
-            second_copies: self.limits.second_copies,
+            hedging: self.limits.second_copies,
             cancel: self.limits.cancel,
             may_probe: self.limits.may_probe,
             reports_by_probe: self.stats.how == "probe",
             reports_queue: self.stats.columns.iter().any(|c| c == "pending" || c == "busy_reqs"),
-            repeats_marked: self.clients.marks_retry,
-            max_hold_off: match self.limits.retry_after {
+            retries_marked: self.clients.marks_retry,
+            max_retry_after: match self.limits.retry_after {
                 true => span(self.limits.max_retry_after_ns),
                 false => Duration::ZERO,
             },
@@ -288,7 +297,7 @@
         })
     }
 
-    fn class(&self, index: usize) -> Result<Class, SettingsFault> {
+    fn class(&self, index: usize) -> Result<Class, SiteSettingsError> {
         let profile = &self.profiles[index];
         let figure = |figures: &[f64], key: &str| {
             figures.get(index).copied().ok_or_else(|| fault(key, format!("has no figure for class {index}")))
@@ -298,10 +307,10 @@
             deadline: Duration::from_nanos(profile.deadline_ns),
             worth: profile.credit,
             late_share: profile.late_share,
-            effect: match profile.effect.as_str() {
-                "safe" => Effect::Safe,
-                "keyed" => Effect::Keyed(Duration::from_nanos(profile.window_ns)),
-                "unsafe" => Effect::Unsafe,
+            retry_safety: match profile.effect.as_str() {
+                "safe" => RetrySafety::Safe,
+                "keyed" => RetrySafety::Keyed(Duration::from_nanos(profile.window_ns)),
+                "unsafe" => RetrySafety::Unsafe,
                 other => {
                     return Err(fault(
                         &format!("profiles[{index}].effect"),
--- a/crates/synth/src/fleet.rs
+++ b/crates/synth/src/fleet.rs
@@ -72,7 +72,7 @@
         let core = (0..CORES).min_by_key(|core| self.free[*core]).unwrap_or(0);
         let begins = self.free[core].max(now);
         if begins - now > QUEUE || self.state == ServerState::Draining {
-            return Some((Verdict::TurnedAway, now + 500_000));
+            return Some((Verdict::Rejected, now + 500_000));
         }
         let slow = if self.ills.slow > 0.0 { self.ills.slow } else { 1.0 };
         self.free[core] = begins + (work as f64 * slow) as u64;
--- a/crates/synth/src/world.rs
+++ b/crates/synth/src/world.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgergauge_core::core::{Command, Core, Final, Member, NewPart, NewQuery, Ticket};
+use badgergauge_core::core::{Command, Core, FinalAnswer, Member, NewPart, NewQuery, ReplyId};
 use badgergauge_core::settings::SiteSettings;
 use badgergauge_core::{QueryId, ServerId, ServerState, Time, TimerId, Verdict};
 use badgergauge_trace::record::{Servers, Source, from_observed};
@@ -241,11 +241,11 @@
         let seed = self.rng.random();
         let broken = |fault: String| io::Error::new(io::ErrorKind::InvalidInput, fault);
         let mut core = Core::new(self.settings.clone(), seed).map_err(|error| broken(error.to_string()))?;
-        core.observe();
-        core.note(if stale { "started, with an old list" } else { "started" });
+        core.enable_recording();
+        core.add_note(if stale { "started, with an old list" } else { "started" });
         let members: Vec<Member> =
             self.servers.iter().map(|s| member(s, if stale { ServerState::Up } else { s.state })).collect();
-        core.take_list(true, self.version.saturating_sub(1), &members, None);
+        core.apply_server_list(true, self.version.saturating_sub(1), &members, None);
         let source = Source {
             broker: name.clone(),
             run,
@@ -324,7 +324,7 @@
             }
             Due::Deadline(index, run, query) => {
                 if let Some(broker) = self.alive(index, run)
-                    && let Some(command) = broker.core.deadline(now, query)
+                    && let Some(command) = broker.core.check_deadline(now, query)
                 {
                     self.carry_out(index, command);
                     self.news(index);
@@ -355,7 +355,7 @@
                     })
                     .collect();
                 if let Some(broker) = self.alive(index, run) {
-                    broker.core.take_list(whole, version, &members, None);
+                    broker.core.apply_server_list(whole, version, &members, None);
                     self.news(index);
                 }
             }
@@ -415,13 +415,13 @@
             class: client.class,
             tenant: 0,
             key: Some(client.key),
-            repeated,
-            left,
-            idempotency: client.idempotency.clone(),
-            text: String::new(),
+            is_retry: repeated,
+            time_left: left,
+            idempotency_key: client.idempotency.clone(),
+            body: String::new(),
             parts: client.parts.clone(),
         };
-        match broker.core.take(Time(self.now), query, Ticket(self.next_name)) {
+        match broker.core.accept(Time(self.now), query, ReplyId(self.next_name)) {
             Ok(_) => {
                 broker.clients.insert(self.next_name, client);
             }
@@ -444,7 +444,7 @@
     /// Something is in for a broker: its next step is due, a tick after its last.
     fn news(&mut self, index: usize) {
         let now = self.now;
-        if let Some(broker) = self.brokers[index].as_mut().filter(|b| !b.step_due && b.core.has_news()) {
+        if let Some(broker) = self.brokers[index].as_mut().filter(|b| !b.step_due && b.core.has_events()) {
             broker.step_due = true;
             self.due.put(now.max(broker.last_step + 5 * MS), Due::Step(index, broker.run));
         }
@@ -457,7 +457,7 @@
         broker.step_due = false;
         broker.last_step = now;
         broker.core.step(Time(now), &mut commands);
-        if let Some(observed) = broker.core.observed() {
+        if let Some(observed) = broker.core.take_step_record() {
             let (record, names) = from_observed(observed);
             broker.servers.extend(names);
             if let Some(writer) = &mut broker.writer {
@@ -483,27 +483,27 @@
             Command::Send(send) => {
                 let work = *broker.works.entry(send.attempt.0).or_insert(work / 8);
                 self.due.put(now + MS, Due::Attempt(index, run, send.attempt, send.server, work));
-                self.due.put(send.until.0, Due::Outcome(index, run, send.attempt, Verdict::NoAnswer));
+                self.due.put(send.deadline.0, Due::Outcome(index, run, send.attempt, Verdict::NoAnswer));
             }
             // All that is sent is written at once here.
-            Command::TakeBack(_) => {}
+            Command::Withdraw(_) => {}
             Command::Cancel(attempt) => {
                 self.due.put(now, Due::Outcome(index, run, attempt, Verdict::Cancelled))
             }
-            Command::Arm(at, timer) => self.due.put(at.0.max(now + 1), Due::Timer(index, run, timer)),
-            Command::ArmDeadline(at, query) => self.due.put(at.0, Due::Deadline(index, run, query)),
+            Command::SetTimer(at, timer) => self.due.put(at.0.max(now + 1), Due::Timer(index, run, timer)),
+            Command::SetDeadline(at, query) => self.due.put(at.0, Due::Deadline(index, run, query)),
             Command::Finish(ticket, last) => {
                 if broker.works.len() > 1 << 16 {
                     broker.works.clear();
                 }
                 let Some(client) = broker.clients.remove(&ticket.0) else { return };
                 match last {
-                    Final::Answered { whole, .. } => self.made.ends[usize::from(!whole)] += 1,
-                    Final::Refused { hold_off } => {
+                    FinalAnswer::Answered { complete: whole, .. } => self.made.ends[usize::from(!whole)] += 1,
+                    FinalAnswer::Refused { retry_after: hold_off } => {
                         self.made.ends[2] += 1;
                         self.again(client, hold_off.as_nanos() as u64);
                     }
-                    Final::Failed => {
+                    FinalAnswer::Failed => {
                         self.made.ends[3] += 1;
                         self.again(client, 100 * MS);
                     }
--- a/crates/synth/tests/tools.rs
+++ b/crates/synth/tests/tools.rs
@@ -165,7 +165,7 @@
         });
         for (query, named) in queries.zip(&record.named) {
             let Some(key) = &named.idempotency else { continue };
-            if query.repeated {
+            if query.is_retry {
                 repeats += 1;
                 assert!(
                     refused.get(key).is_some_and(|at| *at < place),
--- a/crates/trace/src/align.rs
+++ b/crates/trace/src/align.rs
@@ -73,7 +73,7 @@
             }
         }
         let repeats = record.events.iter().filter_map(|event| match event {
-            Event::Query(query) => Some((query.id, query.repeated)),
+            Event::Query(query) => Some((query.id, query.is_retry)),
             _ => None,
         });
         for ((query, repeated), named) in repeats.zip(&record.named) {
--- a/crates/trace/src/codec.rs
+++ b/crates/trace/src/codec.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use badgergauge_core::{
-    Action, Cause, Choice, Ending, Event, Left, Listed, LoadReport, Missing, Part, PartId, Query, QueryId,
-    QueryNumber, ServerId, ServerState, ShardId, Time, TimerId, Verdict, Withdrawn,
+    Action, BypassReason, CancelReason, Cause, Choice, Ending, Event, LoadReport, MissingReason, Part,
+    PartId, Query, QueryId, QueryNumber, ServerEntry, ServerId, ServerState, ShardId, Time, TimerId, Verdict,
 };
 
 use crate::record::{Gap, Named, NotTaken, Record, Servers, Why, server_name};
@@ -14,7 +14,7 @@
 const VERDICTS: [Verdict; 8] = [
     Verdict::Served,
     Verdict::Error,
-    Verdict::TurnedAway,
+    Verdict::Rejected,
     Verdict::NoAnswer,
     Verdict::NoConnection,
     Verdict::ConnectionLost,
@@ -22,27 +22,27 @@
     Verdict::NotSent,
 ];
 const STATES: [ServerState; 3] = [ServerState::Up, ServerState::Draining, ServerState::Removed];
-const LEFT: [Option<Left>; 9] = [
+const LEFT: [Option<BypassReason>; 9] = [
     None,
-    Some(Left::Busy),
-    Some(Left::Slow),
-    Some(Left::Late),
-    Some(Left::Doubtful),
-    Some(Left::Draining),
-    Some(Left::Cold),
-    Some(Left::Tried),
-    Some(Left::Silent),
+    Some(BypassReason::Busy),
+    Some(BypassReason::Slow),
+    Some(BypassReason::Late),
+    Some(BypassReason::Suspect),
+    Some(BypassReason::Draining),
+    Some(BypassReason::Cold),
+    Some(BypassReason::Tried),
+    Some(BypassReason::Unresponsive),
 ];
-const CAUSES: [Cause; 4] = [Cause::Whole, Cause::TimeUp, Cause::TooLittle, Cause::NothingOut];
-const MISSING: [Missing; 8] = [
-    Missing::Unasked,
-    Missing::Out,
-    Missing::Late,
-    Missing::Closed,
-    Missing::Spent,
-    Missing::Risk,
-    Missing::Budget,
-    Missing::Held,
+const CAUSES: [Cause; 4] = [Cause::Complete, Cause::TimeUp, Cause::BelowFloor, Cause::NothingInFlight];
+const MISSING: [MissingReason; 8] = [
+    MissingReason::Undecided,
+    MissingReason::InFlight,
+    MissingReason::Late,
+    MissingReason::NoReplica,
+    MissingReason::AttemptsExhausted,
+    MissingReason::UnsafeToRetry,
+    MissingReason::BudgetExhausted,
+    MissingReason::Withheld,
 ];
 
 fn code<T: PartialEq>(all: &[T], value: &T) -> u32 {
@@ -142,8 +142,8 @@
                     class: query.class as u32,
                     tenant: query.tenant as u32,
                     key: query.key,
-                    repeated_try: query.repeated,
-                    left: nanos(query.left),
+                    repeated_try: query.is_retry,
+                    left: nanos(query.time_left),
                     name: named.map(|named| named.name.clone()).unwrap_or_default(),
                     idempotency_key: named.and_then(|named| named.idempotency.clone()).unwrap_or_default(),
                     number: (query.number.0 != query.id.0).then_some(query.number.0),
@@ -174,7 +174,7 @@
             Event::Servers(lines) => event::Kind::Servers(self.listing(lines, servers)),
             Event::ServersChanged(lines) => event::Kind::ServersChanged(self.listing(lines, servers)),
             Event::ServersFailed => event::Kind::ServersFailed(true),
-            Event::Told { server, class, verdict, took } => event::Kind::Told(wire::Told {
+            Event::PeerOutcome { server, class, verdict, took } => event::Kind::Told(wire::Told {
                 server: self.server(*server, servers),
                 class: *class as u32,
                 verdict: code(&VERDICTS, verdict),
@@ -183,20 +183,20 @@
         }
     }
 
-    fn listing(&mut self, lines: &[Listed], servers: &Servers) -> wire::Listing {
-        let line = |line: &Listed| wire::Listed {
+    fn listing(&mut self, lines: &[ServerEntry], servers: &Servers) -> wire::Listing {
+        let line = |line: &ServerEntry| wire::Listed {
             server: self.server(line.server, servers),
             zone: line.zone,
             cell: line.cell,
             state: code(&STATES, &line.state),
             started: line.started.map(|at| at.0),
-            until: line.until.map(|at| at.0),
+            until: line.send_until.map(|at| at.0),
         };
         wire::Listing { lines: lines.iter().map(line).collect() }
     }
 
     fn ending(&mut self, why: &Ending) -> wire::Ending {
-        let missing = |(part, missing): &(PartId, Missing)| wire::Missing {
+        let missing = |(part, missing): &(PartId, MissingReason)| wire::Missing {
             part: self.id(part.0),
             why: code(&MISSING, missing),
         };
@@ -205,27 +205,27 @@
 
     fn action(&mut self, action: &Action, now: Time, servers: &Servers) -> action::Kind {
         match action {
-            Action::Send { part, server, time_out, why } => action::Kind::Send(wire::Send {
+            Action::Send { part, server, timeout: time_out, why } => action::Kind::Send(wire::Send {
                 part: self.id(part.0),
                 server: self.server(*server, servers),
                 time_out: nanos(*time_out),
                 home: self.server(why.home, servers),
-                left: code(&LEFT, &why.left),
+                left: code(&LEFT, &why.bypassed),
                 predicted: why.predicted,
                 allowed: why.allowed,
             }),
             Action::Cancel { part, attempt, why } => action::Kind::Cancel(wire::Cancel {
                 part: self.id(part.0),
                 attempt: *attempt,
-                silent: *why == Withdrawn::Silent,
+                silent: *why == CancelReason::Unresponsive,
             }),
             Action::CloseIdle { server } => action::Kind::CloseIdle(self.server(*server, servers)),
             Action::Probe { server } => action::Kind::Probe(self.server(*server, servers)),
-            Action::Answer { query, whole, why } => {
+            Action::Answer { query, complete: whole, why } => {
                 let query = self.id(query.0);
                 action::Kind::Answer(wire::Answer { query, whole: *whole, why: Some(self.ending(why)) })
             }
-            Action::Refuse { query, hold_off, why } => {
+            Action::Refuse { query, retry_after: hold_off, why } => {
                 let (query, hold_off) = (self.id(query.0), nanos(*hold_off));
                 action::Kind::Refuse(wire::Refuse { query, hold_off, why: Some(self.ending(why)) })
             }
@@ -345,8 +345,8 @@
                     class: query.class as usize,
                     tenant: query.tenant as usize,
                     key: query.key,
-                    repeated: query.repeated_try,
-                    left: Duration::from_nanos(query.left),
+                    is_retry: query.repeated_try,
+                    time_left: Duration::from_nanos(query.left),
                 })
             }
             event::Kind::Part(part) => Event::Part(Part {
@@ -376,7 +376,7 @@
             event::Kind::Servers(list) => Event::Servers(self.listing(&list)?),
             event::Kind::ServersChanged(list) => Event::ServersChanged(self.listing(&list)?),
             event::Kind::ServersFailed(_) => Event::ServersFailed,
-            event::Kind::Told(told) => Event::Told {
+            event::Kind::Told(told) => Event::PeerOutcome {
                 server: self.server(told.server)?,
                 class: told.class as usize,
                 verdict: verdict(told.verdict)?,
@@ -385,15 +385,15 @@
         })
     }
 
-    fn listing(&self, list: &wire::Listing) -> Result<Vec<Listed>, Unreadable> {
+    fn listing(&self, list: &wire::Listing) -> Result<Vec<ServerEntry>, Unreadable> {
         let line = |line: &wire::Listed| {
-            Ok(Listed {
+            Ok(ServerEntry {
                 server: self.server(line.server)?,
                 zone: line.zone,
                 cell: line.cell,
                 state: known(&STATES, line.state, "an unknown state")?,
                 started: line.started.map(Time),
-                until: line.until.map(Time),
+                send_until: line.until.map(Time),
             })
         };
         list.lines.iter().map(line).collect()
@@ -414,10 +414,10 @@
             action::Kind::Send(send) => Action::Send {
                 part: PartId(self.id(send.part)),
                 server: self.server(send.server)?,
-                time_out: Duration::from_nanos(send.time_out),
+                timeout: Duration::from_nanos(send.time_out),
                 why: Choice {
                     home: self.server(send.home)?,
-                    left: known(&LEFT, send.left, "an unknown reason")?,
+                    bypassed: known(&LEFT, send.left, "an unknown reason")?,
                     predicted: send.predicted,
                     allowed: send.allowed,
                 },
@@ -425,18 +425,18 @@
             action::Kind::Cancel(cancel) => Action::Cancel {
                 part: PartId(self.id(cancel.part)),
                 attempt: cancel.attempt,
-                why: if cancel.silent { Withdrawn::Silent } else { Withdrawn::Over },
+                why: if cancel.silent { CancelReason::Unresponsive } else { CancelReason::QueryEnded },
             },
             action::Kind::CloseIdle(server) => Action::CloseIdle { server: self.server(server)? },
             action::Kind::Probe(server) => Action::Probe { server: self.server(server)? },
             action::Kind::Answer(answer) => Action::Answer {
                 query: QueryId(self.id(answer.query)),
-                whole: answer.whole,
+                complete: answer.whole,
                 why: self.ending(answer.why)?,
             },
             action::Kind::Refuse(refuse) => Action::Refuse {
                 query: QueryId(self.id(refuse.query)),
-                hold_off: Duration::from_nanos(refuse.hold_off),
+                retry_after: Duration::from_nanos(refuse.hold_off),
                 why: self.ending(refuse.why)?,
             },
             action::Kind::Fail(fail) => {
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use badgergauge_core::core::{self, Observed};
+use badgergauge_core::core::{self, StepRecord};
 use badgergauge_core::{Action, Event, QueryId, ServerId, Time};
 
 /// Whose records these are: one run of one broker. Two are the same run if broker and run agree.
@@ -132,17 +132,17 @@
 }
 
 /// A step as a core tells of it, as a record of the first source.
-pub fn from_observed(observed: Observed) -> (Record, Vec<(ServerId, String)>) {
-    let named = |names: core::Names| Named {
+pub fn from_observed(observed: StepRecord) -> (Record, Vec<(ServerId, String)>) {
+    let named = |names: core::QueryNames| Named {
         query: names.query,
         name: names.name.to_string(),
-        idempotency: names.idempotency.map(|word| word.to_string()),
+        idempotency: names.idempotency_key.map(|word| word.to_string()),
     };
-    let not_taken = |(class, why): (usize, core::NotTaken)| NotTaken {
+    let not_taken = |(class, why): (usize, core::NotAccepted)| NotTaken {
         class,
         why: match why {
-            core::NotTaken::Full { .. } => Why::Full,
-            core::NotTaken::NameInUse => Why::NameInUse,
+            core::NotAccepted::AtCapacity { .. } => Why::Full,
+            core::NotAccepted::NameInUse => Why::NameInUse,
         },
     };
     let record = Record {
@@ -151,11 +151,11 @@
         time: observed.now,
         events: observed.events,
         actions: observed.actions,
-        named: observed.named.into_iter().map(named).collect(),
-        versions: observed.versions,
-        not_taken: observed.not_taken.into_iter().map(not_taken).collect(),
+        named: observed.query_names.into_iter().map(named).collect(),
+        versions: observed.list_versions,
+        not_taken: observed.not_accepted.into_iter().map(not_taken).collect(),
         gap: None,
         note: observed.note,
     };
-    (record, observed.servers)
+    (record, observed.new_servers)
 }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -83,7 +83,7 @@
         let unfit = |fault: String| Unverifiable::Settings(fault);
         let json = serde_json::from_str(&source.settings).map_err(|error| unfit(error.to_string()))?;
         let settings = SiteSettings::read(&json).map_err(|error| unfit(error.to_string()))?;
-        let router = Router::new(settings.module, source.seed).map_err(|error| unfit(error.to_string()))?;
+        let router = Router::new(settings.router, source.seed).map_err(|error| unfit(error.to_string()))?;
         Ok(Replay {
             router,
             next: 1,
@@ -154,17 +154,21 @@
 
 /// An action without its reason.
 fn bare(action: &Action) -> Action {
-    let ending = || Ending { cause: badgergauge_core::Cause::Whole, missing: Vec::new() };
+    let ending = || Ending { cause: badgergauge_core::Cause::Complete, missing: Vec::new() };
     match action.clone() {
-        Action::Send { part, server, time_out, .. } => {
-            let why = Choice { home: ServerId(0), left: None, predicted: 0.0, allowed: 0.0 };
-            Action::Send { part, server, time_out, why }
+        Action::Send { part, server, timeout: time_out, .. } => {
+            let why = Choice { home: ServerId(0), bypassed: None, predicted: 0.0, allowed: 0.0 };
+            Action::Send { part, server, timeout: time_out, why }
         }
         Action::Cancel { part, attempt, .. } => {
-            Action::Cancel { part, attempt, why: badgergauge_core::Withdrawn::Over }
+            Action::Cancel { part, attempt, why: badgergauge_core::CancelReason::QueryEnded }
+        }
+        Action::Answer { query, complete: whole, .. } => {
+            Action::Answer { query, complete: whole, why: ending() }
+        }
+        Action::Refuse { query, retry_after: hold_off, .. } => {
+            Action::Refuse { query, retry_after: hold_off, why: ending() }
         }
-        Action::Answer { query, whole, .. } => Action::Answer { query, whole, why: ending() },
-        Action::Refuse { query, hold_off, .. } => Action::Refuse { query, hold_off, why: ending() },
         Action::Fail { query, .. } => Action::Fail { query, why: ending() },
         other => other,
     }
--- a/crates/trace/src/sample.rs
+++ b/crates/trace/src/sample.rs
@@ -68,12 +68,12 @@
             class,
             tenant: 0,
             key: None,
-            repeated: false,
-            left: Duration::from_secs(1),
+            is_retry: false,
+            time_left: Duration::from_secs(1),
         };
         let part =
             Part { id: PartId(id + 1), query: QueryNumber(id), shard: ShardId(0), weight: 1.0, hint: None };
-        let why = Ending { cause: Cause::TooLittle, missing: vec![] };
+        let why = Ending { cause: Cause::BelowFloor, missing: vec![] };
         Record {
             time: Time(id),
             events: vec![Event::Query(query), Event::Part(part)],
--- a/crates/trace/src/story.rs
+++ b/crates/trace/src/story.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use badgergauge_core::{
-    Action, Cause, Choice, Ending, Event, Left, Listed, Missing, PartId, QueryId, ServerId, ServerState,
-    Verdict, Withdrawn,
+    Action, BypassReason, CancelReason, Cause, Choice, Ending, Event, MissingReason, PartId, QueryId,
+    ServerEntry, ServerId, ServerState, Verdict,
 };
 use serde_json::{Value, json};
 
@@ -29,40 +29,40 @@
 }
 
 /// Why a home replica was left, as filters know it.
-pub fn left_word(left: Left) -> &'static str {
+pub fn left_word(left: BypassReason) -> &'static str {
     match left {
-        Left::Busy => "busy",
-        Left::Slow => "slow",
-        Left::Late => "late",
-        Left::Doubtful => "doubtful",
-        Left::Draining => "draining",
-        Left::Cold => "cold",
-        Left::Tried => "tried",
-        Left::Silent => "silent",
+        BypassReason::Busy => "busy",
+        BypassReason::Slow => "slow",
+        BypassReason::Late => "late",
+        BypassReason::Suspect => "doubtful",
+        BypassReason::Draining => "draining",
+        BypassReason::Cold => "cold",
+        BypassReason::Tried => "tried",
+        BypassReason::Unresponsive => "silent",
     }
 }
 
 /// Why a part is not in.
-pub fn missing_word(missing: Missing) -> &'static str {
+pub fn missing_word(missing: MissingReason) -> &'static str {
     match missing {
-        Missing::Unasked => "unasked",
-        Missing::Out => "out",
-        Missing::Late => "no-time",
-        Missing::Closed => "closed",
-        Missing::Spent => "spent",
-        Missing::Risk => "risk",
-        Missing::Budget => "budget",
-        Missing::Held => "held",
+        MissingReason::Undecided => "unasked",
+        MissingReason::InFlight => "out",
+        MissingReason::Late => "no-time",
+        MissingReason::NoReplica => "closed",
+        MissingReason::AttemptsExhausted => "spent",
+        MissingReason::UnsafeToRetry => "risk",
+        MissingReason::BudgetExhausted => "budget",
+        MissingReason::Withheld => "held",
     }
 }
 
 /// What made a query end.
 pub fn cause_word(cause: Cause) -> &'static str {
     match cause {
-        Cause::Whole => "whole",
+        Cause::Complete => "whole",
         Cause::TimeUp => "time-up",
-        Cause::TooLittle => "too-little",
-        Cause::NothingOut => "nothing-out",
+        Cause::BelowFloor => "too-little",
+        Cause::NothingInFlight => "nothing-out",
     }
 }
 
@@ -71,7 +71,7 @@
     match verdict {
         Verdict::Served => "served",
         Verdict::Error => "error",
-        Verdict::TurnedAway => "turned-away",
+        Verdict::Rejected => "turned-away",
         Verdict::NoAnswer => "no-answer",
         Verdict::NoConnection => "no-connection",
         Verdict::ConnectionLost => "connection-lost",
@@ -118,38 +118,40 @@
     (span.as_secs_f64() * 1e6).round() / 1e3
 }
 
-fn left_says(left: Left, home: &str) -> String {
+fn left_says(left: BypassReason, home: &str) -> String {
     match left {
-        Left::Busy => format!("its home {home} has enough of this broker's parts out"),
-        Left::Slow => format!("its home {home} is predicted to be too much slower"),
-        Left::Late => format!("its home {home} is not predicted to answer in what is left"),
-        Left::Doubtful => format!("its home {home} failed, hung or was lost lately"),
-        Left::Draining => format!("its home {home} drains"),
-        Left::Cold => format!("its home {home} has just started and may take no more yet"),
-        Left::Tried => format!("it was at its home {home} before"),
-        Left::Silent => format!("it was taken back from its home {home}, which answered nothing"),
+        BypassReason::Busy => format!("its home {home} has enough of this broker's parts out"),
+        BypassReason::Slow => format!("its home {home} is predicted to be too much slower"),
+        BypassReason::Late => format!("its home {home} is not predicted to answer in what is left"),
+        BypassReason::Suspect => format!("its home {home} failed, hung or was lost lately"),
+        BypassReason::Draining => format!("its home {home} drains"),
+        BypassReason::Cold => format!("its home {home} has just started and may take no more yet"),
+        BypassReason::Tried => format!("it was at its home {home} before"),
+        BypassReason::Unresponsive => {
+            format!("it was taken back from its home {home}, which answered nothing")
+        }
     }
 }
 
-fn missing_says(missing: Missing) -> &'static str {
+fn missing_says(missing: MissingReason) -> &'static str {
     match missing {
-        Missing::Unasked => "nothing was decided on it yet",
-        Missing::Out => "its answer had not come",
-        Missing::Late => "no replica was predicted to answer in what was left",
-        Missing::Closed => "no replica was listed, up, and free to be sent to",
-        Missing::Spent => "its attempts were spent",
-        Missing::Risk => "it may have run, and must not be sent again",
-        Missing::Budget => "the budget of further attempts was spent",
-        Missing::Held => "it could have gone, but too few others could",
+        MissingReason::Undecided => "nothing was decided on it yet",
+        MissingReason::InFlight => "its answer had not come",
+        MissingReason::Late => "no replica was predicted to answer in what was left",
+        MissingReason::NoReplica => "no replica was listed, up, and free to be sent to",
+        MissingReason::AttemptsExhausted => "its attempts were spent",
+        MissingReason::UnsafeToRetry => "it may have run, and must not be sent again",
+        MissingReason::BudgetExhausted => "the budget of further attempts was spent",
+        MissingReason::Withheld => "it could have gone, but too few others could",
     }
 }
 
 fn cause_says(cause: Cause) -> &'static str {
     match cause {
-        Cause::Whole => "all that was needed is in",
+        Cause::Complete => "all that was needed is in",
         Cause::TimeUp => "time is up",
-        Cause::TooLittle => "what can still come in is too little",
-        Cause::NothingOut => "nothing is out and nothing more can be sent",
+        Cause::BelowFloor => "what can still come in is too little",
+        Cause::NothingInFlight => "nothing is out and nothing more can be sent",
     }
 }
 
@@ -257,17 +259,17 @@
                 let idempotency = names.and_then(|named| named.idempotency.as_deref());
                 let class = source.class(query.class);
                 let key = query.key.map(|key| format!("{key:016x}"));
-                let again = if query.repeated { ", a repeat" } else { "" };
+                let again = if query.is_retry { ", a repeat" } else { "" };
                 let about = key.as_ref().map_or_else(String::new, |key| format!(", key {key}"));
                 let under = idempotency.map_or_else(String::new, |word| format!(", under {word}"));
                 (
                     format!(
                         "query {} taken: {class} {name:?}{about}{under}{again}, {} ms left",
                         query.id.0,
-                        ms(query.left)
+                        ms(query.time_left)
                     ),
                     json!({"kind": "query", "query": query.id.0, "name": name, "class": class, "key": key,
-                        "idempotency": idempotency, "repeated": query.repeated, "leftMs": ms(query.left)}),
+                        "idempotency": idempotency, "repeated": query.is_retry, "leftMs": ms(query.time_left)}),
                     vec![],
                 )
             }
@@ -301,7 +303,7 @@
             }
             Event::Servers(list) => self.list("servers", list, versions.next(), servers),
             Event::ServersChanged(list) => self.list("servers-changed", list, versions.next(), servers),
-            Event::Told { server, verdict, took, .. } => {
+            Event::PeerOutcome { server, verdict, took, .. } => {
                 let (name, word) = (server_name(servers, *server), verdict_word(*verdict));
                 let json = json!({"kind": "told", "server": name, "verdict": word, "tookMs": ms(*took)});
                 (format!("told of {name}: {word} after {} ms", ms(*took)), json, vec![*server])
@@ -315,13 +317,13 @@
     fn list(
         &self,
         kind: &str,
-        list: &[Listed],
+        list: &[ServerEntry],
         version: Option<&u64>,
         servers: &Servers,
     ) -> (String, Value, Vec<ServerId>) {
         let version = version.copied().unwrap_or(0);
         let line =
-            |line: &Listed| format!("{} {}", server_name(servers, line.server), state_word(line.state));
+            |line: &ServerEntry| format!("{} {}", server_name(servers, line.server), state_word(line.state));
         let said: Vec<String> = list.iter().map(line).collect();
         let what = if kind == "servers" { "list" } else { "changes of list" };
         (
@@ -356,8 +358,8 @@
         servers: &Servers,
     ) -> (String, Value, Vec<ServerId>, Vec<&'static str>) {
         match action {
-            Action::Send { part, server, time_out, why } => {
-                let Choice { home, left, predicted, allowed } = why;
+            Action::Send { part, server, timeout: time_out, why } => {
+                let Choice { home, bypassed: left, predicted, allowed } = why;
                 let ((text, mut json), name) = (self.part(*part), server_name(servers, *server));
                 let home_name = server_name(servers, *home);
                 json["kind"] = "send".into();
@@ -382,7 +384,7 @@
             }
             Action::Cancel { part, attempt, why } => {
                 let (text, mut json) = self.part(*part);
-                let silent = *why == Withdrawn::Silent;
+                let silent = *why == CancelReason::Unresponsive;
                 json["kind"] = "cancel".into();
                 json["attempt"] = (*attempt).into();
                 json["silent"] = silent.into();
@@ -403,13 +405,13 @@
                 let name = server_name(servers, *server);
                 (format!("{name} probed"), json!({"kind": "probe", "server": name}), vec![*server], vec![])
             }
-            Action::Answer { query, whole, why } => {
+            Action::Answer { query, complete: whole, why } => {
                 let (said, why, reasons) = self.ending(why);
                 let kind = if *whole { "whole" } else { "in part" };
                 let json = json!({"kind": "answer", "query": query.0, "whole": whole, "why": why});
                 (format!("query {} answered {kind}: {said}", query.0), json, vec![], reasons)
             }
-            Action::Refuse { query, hold_off, why } => {
+            Action::Refuse { query, retry_after: hold_off, why } => {
                 let (said, why, reasons) = self.ending(why);
                 let json =
                     json!({"kind": "refuse", "query": query.0, "holdOffMs": ms(*hold_off), "why": why});
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -156,7 +156,7 @@
             let json = serde_json::from_str(&source.settings).ok();
             let settings = json.and_then(|json| SiteSettings::read(&json).ok());
             Run {
-                classes: settings.map(|settings| settings.module.classes).unwrap_or_default(),
+                classes: settings.map(|settings| settings.router.classes).unwrap_or_default(),
                 tracker: Tracker::default(),
                 open: HashMap::new(),
                 sent: HashMap::new(),
@@ -224,7 +224,8 @@
             Event::Query(query) => {
                 let class = run.classes.get(query.class);
                 // A repeat's aim counts from the first try.
-                let waited = class.filter(|_| query.repeated).map(|c| c.deadline.saturating_sub(query.left));
+                let waited =
+                    class.filter(|_| query.is_retry).map(|c| c.deadline.saturating_sub(query.time_left));
                 let aim = class.map_or(Duration::MAX, |class| class.aim);
                 let aim_at = record.time.before(waited.unwrap_or_default()).after(aim);
                 let worth = class.map(|class| class.worth);
@@ -264,7 +265,7 @@
                         tally.times.saturating_record(micros(*took));
                     }
                     Verdict::Error => tally.row.error += 1,
-                    Verdict::TurnedAway => tally.row.turned_away += 1,
+                    Verdict::Rejected => tally.row.turned_away += 1,
                     Verdict::NoAnswer => tally.row.no_answer += 1,
                     Verdict::NoConnection => tally.row.no_connection += 1,
                     Verdict::ConnectionLost => tally.row.connection_lost += 1,
@@ -295,7 +296,7 @@
                     self.class(source.class(class)).row.attempts += 1;
                 }
             }
-            Action::Answer { query, whole, .. } => {
+            Action::Answer { query, complete: whole, .. } => {
                 let Some(open) = run.open.remove(query) else { return };
                 forget(run, *query, &open);
                 let late = record.time > open.aim_at;
--- a/crates/trace/src/track.rs
+++ b/crates/trace/src/track.rs
@@ -43,7 +43,7 @@
                 }
                 let tracked = Tracked { query: query.id, class: query.class, taken: now, shards: Vec::new() };
                 self.queries.insert(query.id.0, tracked);
-                self.until.push_back((now.after(query.left).after(AFTER), query.id.0));
+                self.until.push_back((now.after(query.time_left).after(AFTER), query.id.0));
             }
             Event::Part(part) => {
                 let last = self.queries.range_mut(..part.id.0).next_back();
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -31,17 +31,20 @@
     let id = n * 10;
     let part = |i: u64| PartId(id + 1 + i);
     let load = LoadReport { held: Some(n as f64), service_seconds: Some(0.25), ..LoadReport::default() };
-    let listed = |server: u64, state| Listed {
+    let listed = |server: u64, state| ServerEntry {
         server: ServerId(server),
         zone: if server == 3 { u32::MAX } else { 0 },
         cell: server as u32,
         state,
         started: (server == 2).then_some(Time(n * 7)),
-        until: (server == 3).then_some(Time(n * 9)),
+        send_until: (server == 3).then_some(Time(n * 9)),
     };
-    let ending =
-        Ending { cause: Cause::TooLittle, missing: vec![(part(0), Missing::Spent), (part(1), Missing::Out)] };
-    let choice = Choice { home: ServerId(2), left: Some(Left::Doubtful), predicted: 0.5, allowed: 1.5 };
+    let ending = Ending {
+        cause: Cause::BelowFloor,
+        missing: vec![(part(0), MissingReason::AttemptsExhausted), (part(1), MissingReason::InFlight)],
+    };
+    let choice =
+        Choice { home: ServerId(2), bypassed: Some(BypassReason::Suspect), predicted: 0.5, allowed: 1.5 };
     Record {
         source: 0,
         sequence: n,
@@ -56,8 +59,8 @@
                 class: (n % 2) as usize,
                 tenant: 0,
                 key: Some(0xdead_beef_0000_0000 | n),
-                repeated: n.is_multiple_of(3),
-                left: Duration::from_millis(5000 - n % 1000),
+                is_retry: n.is_multiple_of(3),
+                time_left: Duration::from_millis(5000 - n % 1000),
             }),
             Event::Part(Part {
                 id: part(0),
@@ -86,7 +89,7 @@
                 took: Duration::from_millis(3),
                 load: LoadReport::default(),
             },
-            Event::Told {
+            Event::PeerOutcome {
                 server: ServerId(3),
                 class: 1,
                 verdict: Verdict::NoConnection,
@@ -99,14 +102,18 @@
             Action::Send {
                 part: part(0),
                 server: ServerId(1),
-                time_out: Duration::from_millis(900),
+                timeout: Duration::from_millis(900),
                 why: choice,
             },
-            Action::Cancel { part: part(1), attempt: 0, why: Withdrawn::Silent },
+            Action::Cancel { part: part(1), attempt: 0, why: CancelReason::Unresponsive },
             Action::CloseIdle { server: ServerId(3) },
             Action::Probe { server: ServerId(2) },
-            Action::Answer { query: QueryId(id), whole: false, why: ending.clone() },
-            Action::Refuse { query: QueryId(id), hold_off: Duration::from_millis(300), why: ending.clone() },
+            Action::Answer { query: QueryId(id), complete: false, why: ending.clone() },
+            Action::Refuse {
+                query: QueryId(id),
+                retry_after: Duration::from_millis(300),
+                why: ending.clone(),
+            },
             Action::Fail { query: QueryId(id), why: ending },
             Action::SetTimer { timer: TimerId(n), at: Time(1_000_000_000 + n * 6_000_000) },
             Action::WatchServers,
--- a/crates/trace/tests/proto.rs
+++ b/crates/trace/tests/proto.rs
@@ -55,8 +55,8 @@
             class: 1,
             tenant: 2,
             key: None,
-            repeated: false,
-            left: std::time::Duration::ZERO,
+            is_retry: false,
+            time_left: std::time::Duration::ZERO,
         }),
         badgergauge_core::Event::Probed {
             server: badgergauge_core::ServerId(2),
@@ -74,12 +74,12 @@
     odd.actions.push(badgergauge_core::Action::Cancel {
         part: badgergauge_core::PartId(9),
         attempt: 2,
-        why: badgergauge_core::Withdrawn::Over,
+        why: badgergauge_core::CancelReason::QueryEnded,
     });
     odd.actions.push(badgergauge_core::Action::Answer {
         query: badgergauge_core::QueryId(5),
-        whole: true,
-        why: badgergauge_core::Ending { cause: badgergauge_core::Cause::Whole, missing: vec![] },
+        complete: true,
+        why: badgergauge_core::Ending { cause: badgergauge_core::Cause::Complete, missing: vec![] },
     });
     for action in &mut odd.actions {
         if let badgergauge_core::Action::Send { server, .. } = action {
--- a/src/backend.rs
+++ b/src/backend.rs
@@ -20,8 +20,8 @@
 use self::setup_time::SetupTime;
 use self::silence::QUIET_PART;
 use crate::config::settings::SiteSettings;
-use crate::core::{AttemptId, Send};
-use crate::interface::{Effect, LoadReport, ServerId, Time, Verdict};
+use crate::core::{AttemptId, SendAttempt};
+use crate::interface::{LoadReport, RetrySafety, ServerId, Time, Verdict};
 use crate::net::{Due, Net};
 
 /// Something that ended at a server.
@@ -96,10 +96,10 @@
 impl Backend {
     /// No connections yet, and `most` of them at any time.
     pub fn new(settings: Arc<SiteSettings>, most: usize) -> Self {
-        let aim = settings.module.shortest_aim();
+        let aim = settings.router.shortest_aim();
         Backend {
             least_quiet: aim / QUIET_PART,
-            setup: SetupTime::for_aim(aim, settings.connect_time_out),
+            setup: SetupTime::for_aim(aim, settings.connect_timeout),
             settings,
             most,
             servers: HashMap::new(),
@@ -159,7 +159,7 @@
     }
 
     /// Queues an attempt; it is written by [`Backend::flush`].
-    pub fn send(&mut self, net: &mut Net, now: Time, send: Send) {
+    pub fn send(&mut self, net: &mut Net, now: Time, send: SendAttempt) {
         self.now = self.now.max(now);
         let name = format!("{}.{}", send.query, send.shard);
         let Some(key) = self.connection_for(net, now, send.server, &name) else {
@@ -175,7 +175,7 @@
             .parts
             .insert(name.clone(), CarriedPart { attempt, quiet, written: None, abandoned: None, told: None });
         self.attempts.insert(attempt, key);
-        let batch = self.settings.module.batch as usize;
+        let batch = self.settings.router.batch as usize;
         match connection.waiting.back_mut() {
             Some(Frame::Query(parts)) if connection.step == step && parts.len() < batch => {
                 parts.push((name, send))
@@ -338,7 +338,7 @@
 
     /// How long a frame that was begun may take to be whole.
     fn stall(&self) -> Duration {
-        self.settings.connect_time_out.min(self.least_quiet * 2)
+        self.settings.connect_timeout.min(self.least_quiet * 2)
     }
 
     /// A frame that was begun should be whole by now: a server writes each at once, so one that stays
@@ -365,7 +365,7 @@
         self.now = self.now.max(now);
         // What a server has swallowed would else count against the connection's streams for good.
         let long_ago =
-            now.before(self.settings.module.classes.iter().map(|c| c.deadline).max().unwrap_or_default());
+            now.before(self.settings.router.classes.iter().map(|c| c.deadline).max().unwrap_or_default());
         for connection in self.connections.values_mut() {
             connection.retired |=
                 connection.parts.values().any(|p| p.abandoned.is_some_and(|at| at < long_ago));
@@ -499,8 +499,8 @@
 }
 
 /// Whether a class's parts carry the query's idempotency key.
-pub fn is_keyed(effect: Effect) -> bool {
-    matches!(effect, Effect::Keyed(_))
+pub fn is_keyed(effect: RetrySafety) -> bool {
+    matches!(effect, RetrySafety::Keyed(_))
 }
 
 #[cfg(test)]
--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -215,7 +215,9 @@
     /// Takes the attempts out of a frame that may not begin any more. Gives whether anything is left of it.
     pub(super) fn leave_late(&mut self, frame: &mut Frame, now: Time) -> bool {
         let Frame::Query(parts) = frame else { return true };
-        for (name, send) in parts.extract_if(.., |(_, send)| send.latest.is_some_and(|latest| now > latest)) {
+        for (name, send) in
+            parts.extract_if(.., |(_, send)| send.start_before.is_some_and(|latest| now > latest))
+        {
             self.parts.remove(&name);
             self.late.push(send.attempt);
         }
--- a/src/backend/frame.rs
+++ b/src/backend/frame.rs
@@ -3,14 +3,14 @@
 use std::collections::HashMap;
 
 use crate::config::settings::{SiteSettings, load_report};
-use crate::core::{AttemptId, Send};
+use crate::core::{AttemptId, SendAttempt};
 use crate::interface::{LoadReport, Time, Verdict};
 
 /// Longest frame that is read: a value has to fit into an answer to a client.
 pub(super) const MAX_FRAME: usize = 64 * 1024;
 /// What a frame carries.
 pub(super) enum Frame {
-    Query(Vec<(String, Send)>),
+    Query(Vec<(String, SendAttempt)>),
     Cancel(String),
     Probe,
 }
@@ -30,21 +30,21 @@
         Frame::Query(parts) => {
             bytes.push(b'q');
             for (name, send) in parts {
-                let wait = send.until.since(now).as_millis().max(1);
-                let list = match &send.idempotency {
+                let wait = send.deadline.since(now).as_millis().max(1);
+                let list = match &send.idempotency_key {
                     Some(key) => format!("d={wait},k={key}"),
                     None => format!("d={wait}"),
                 };
-                let line = format!("{name} {} {list} {}\n", send.shard, send.text.len());
+                let line = format!("{name} {} {list} {}\n", send.shard, send.body.len());
                 bytes.extend_from_slice(line.as_bytes());
-                bytes.extend_from_slice(send.text.as_bytes());
+                bytes.extend_from_slice(send.body.as_bytes());
             }
         }
         Frame::Cancel(name) => {
             bytes.push(b'c');
             bytes.extend_from_slice(name.as_bytes());
         }
-        Frame::Probe => bytes.push(if settings.module.reports_by_probe { b'l' } else { b'p' }),
+        Frame::Probe => bytes.push(if settings.router.reports_by_probe { b'l' } else { b'p' }),
     }
     let length = u32::try_from(bytes.len() - 4).unwrap_or(u32::MAX);
     bytes[..4].copy_from_slice(&length.to_be_bytes());
@@ -66,7 +66,7 @@
             Err(_) => (Verdict::Error, None),
         },
         "broke" => (Verdict::Error, None),
-        "skipped" => (Verdict::TurnedAway, None),
+        "skipped" => (Verdict::Rejected, None),
         _ => return None,
     };
     Some((name, verdict, value, load))
--- a/src/backend/selection.rs
+++ b/src/backend/selection.rs
@@ -17,7 +17,7 @@
 impl Backend {
     /// Whether what the step under way sends on a connection still joins the last call on it.
     pub(super) fn may_join(&self, connection: &Connection) -> bool {
-        let batch = self.settings.module.batch as usize;
+        let batch = self.settings.router.batch as usize;
         let room = |frame: &Frame| matches!(frame, Frame::Query(parts) if parts.len() < batch);
         connection.step == self.step && connection.waiting.back().is_some_and(room)
     }
@@ -35,12 +35,12 @@
         id: ServerId,
         name: &str,
     ) -> Option<usize> {
-        let aim = self.settings.module.shortest_aim().as_secs_f64();
+        let aim = self.settings.router.shortest_aim().as_secs_f64();
         self.servers.get_mut(&id)?.losses.fade(now, aim * LOSSES_HALF_LIFE_AIMS);
         let server = self.servers.get(&id).filter(|server| server.open)?;
         let address = server.address;
         // What a new connection costs, in parts: its price, and the time that its first part waits.
-        let opening_cost = self.settings.module.handshake_price + self.setup.mean() / aim;
+        let opening_cost = self.settings.router.handshake_price + self.setup.mean() / aim;
         let fits = |key: &&usize| {
             self.connections.get(key).is_some_and(|connection| {
                 // An earlier attempt of the part that was given up may yet be answered, under the same id:
--- a/src/backend/silence.rs
+++ b/src/backend/silence.rs
@@ -56,13 +56,13 @@
     fn probe_silent_connections(&mut self, net: &mut Net, now: Time) {
         let [share, weight] = DEAD_OF_PROBED;
         let dead = (self.probed[1] + share * weight) / (self.probed[0] + weight);
-        let price = 2.0 * self.settings.probe_price + self.settings.module.handshake_price;
+        let price = 2.0 * self.settings.probe_price + self.settings.router.handshake_price;
         let silent = |(key, connection): (&usize, &Connection)| {
             let worth = dead * connection.waited_for() as f64 >= price;
             let probes = worth && !connection.probed && connection.is_silent(now);
             probes.then_some((*key, connection.server))
         };
-        if !self.settings.module.may_probe {
+        if !self.settings.router.may_probe {
             return;
         }
         for (key, server) in self.connections.iter().filter_map(silent).collect::<Vec<_>>() {
--- a/src/backend/tests.rs
+++ b/src/backend/tests.rs
@@ -21,7 +21,7 @@
     let config: serde_json::Value = serde_json::from_str(config).expect("JSON");
     let settings = SiteSettings::read(&config["settings"]).expect("sound");
     let server = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let aim = settings.module.shortest_aim();
+    let aim = settings.router.shortest_aim();
     let mut backend = Backend::new(Arc::new(settings), 10);
     backend.open(SERVER, server.local_addr().expect("bound"));
     Bench { backend, net: Net::new(Clock::start()).expect("a poller"), server, aim }
@@ -38,7 +38,17 @@
         let (query, text) = (format!("q{part}").into(), text.into());
         let until = now.after(Duration::from_secs(5));
         let (aim, idempotency) = (self.aim, None);
-        let send = Send { attempt, server: SERVER, query, shard: 0, idempotency, text, aim, until, latest };
+        let send = SendAttempt {
+            attempt,
+            server: SERVER,
+            query,
+            shard: 0,
+            idempotency_key: idempotency,
+            body: text,
+            aim,
+            deadline: until,
+            start_before: latest,
+        };
         self.backend.send(&mut self.net, now, send);
         attempt
     }
@@ -97,7 +107,7 @@
 fn a_connection_that_does_not_come_up_ends_when_others_would_be_up() {
     let mut bench = bench();
     (0..20).for_each(|_| bench.backend.setup.learn(Duration::from_millis(1)));
-    let (limit, whole) = (bench.backend.setup.limit(), bench.backend.settings.connect_time_out);
+    let (limit, whole) = (bench.backend.setup.limit(), bench.backend.settings.connect_timeout);
     assert!(limit < whole, "{limit:?} of {whole:?}");
     bench.send(1);
     let key = *bench.backend.connections.keys().next().expect("one");
@@ -137,7 +147,7 @@
 #[test]
 fn a_call_that_ends_its_connection_takes_few_others_along() {
     let mut bench = bench();
-    Arc::make_mut(&mut bench.backend.settings).module.batch = 8;
+    Arc::make_mut(&mut bench.backend.settings).router.batch = 8;
     for part in 0..3 {
         bench.send(part);
         bench.write_all();
@@ -264,7 +274,7 @@
 fn nothing_is_kept_of_servers_and_parts_of_old() {
     let mut bench = bench();
     let address = bench.server.local_addr().expect("bound");
-    let deadlines = bench.backend.settings.module.classes.iter().map(|class| class.deadline);
+    let deadlines = bench.backend.settings.router.classes.iter().map(|class| class.deadline);
     let longest = deadlines.max().expect("classes");
     let mut now = bench.net.clock.now();
     for number in 0..40 {
@@ -274,16 +284,16 @@
             let (query, text) = (format!("q{part}").into(), "t".into());
             let until = now.after(until);
             let attempt = (PartId(part), 0);
-            let send = Send {
+            let send = SendAttempt {
                 attempt,
                 server,
                 query,
                 shard: 0,
-                idempotency: None,
-                text,
+                idempotency_key: None,
+                body: text,
                 aim: bench.aim,
-                until,
-                latest: None,
+                deadline: until,
+                start_before: None,
             };
             bench.backend.send(&mut bench.net, now, send);
         }
@@ -405,7 +415,17 @@
     let latest = Some(window_ends);
     let (query, text) = ("q2".into(), "t".into());
     let (aim, idempotency) = (bench.aim, None);
-    let repeat = Send { attempt, server: SERVER, query, shard: 0, idempotency, text, aim, until, latest };
+    let repeat = SendAttempt {
+        attempt,
+        server: SERVER,
+        query,
+        shard: 0,
+        idempotency_key: idempotency,
+        body: text,
+        aim,
+        deadline: until,
+        start_before: latest,
+    };
     bench.backend.send(&mut bench.net, old, repeat);
     bench.backend.flush(&mut bench.net, old);
     bench.write_all();
@@ -487,7 +507,7 @@
 #[test]
 fn what_waits_behind_a_full_socket_is_told_the_time_that_is_left_when_it_is_written() {
     let mut bench = bench();
-    Arc::make_mut(&mut bench.backend.settings).module.batch = 2;
+    Arc::make_mut(&mut bench.backend.settings).router.batch = 2;
     let mut stream = blocked_connection(&mut bench);
     let queued = bench.net.clock.now();
     bench.send_text(3, 0, "z", None);
--- a/src/bin/badgergauge-adapter/wire.rs
+++ b/src/bin/badgergauge-adapter/wire.rs
@@ -6,7 +6,7 @@
 
 use badgergauge::config::settings::{SiteSettings, load_report};
 use badgergauge::{
-    Action, Event, Listed, LoadReport, Part, PartId, Query, QueryId, QueryNumber, Router, ServerId,
+    Action, Event, LoadReport, Part, PartId, Query, QueryId, QueryNumber, Router, ServerEntry, ServerId,
     ServerState, ShardId, Time, TimerId, Verdict,
 };
 use serde::Deserialize;
@@ -18,7 +18,7 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Router>,
-    lists: BTreeMap<u64, Vec<Listed>>,
+    lists: BTreeMap<u64, Vec<ServerEntry>>,
 }
 
 #[derive(Deserialize)]
@@ -75,7 +75,7 @@
         let facts = message.0.get(3).ok_or("init: no facts")?;
         let facts = SiteSettings::read(facts).map_err(|error| format!("init: facts: {error}"))?;
         // Here a query is there as soon as it is sent.
-        let settings = badgergauge::Settings { on_the_way: Duration::ZERO, ..facts.module };
+        let settings = badgergauge::Settings { network_allowance: Duration::ZERO, ..facts.router };
         Ok(Router::new(settings, seed).map_err(|error| error.to_string()))
     }
 
@@ -99,14 +99,14 @@
 
 fn encode(i: u64, action: &Action) -> Value {
     match *action {
-        Action::Send { part, server, time_out, .. } => {
+        Action::Send { part, server, timeout: time_out, .. } => {
             json!(["callOut", i, part.0, server.0, nanos(time_out)])
         }
         Action::CloseIdle { server } => json!(["hangUp", i, server.0]),
         Action::Probe { server } => json!(["touch", i, server.0]),
         Action::Cancel { part, attempt, .. } => json!(["dropAttempt", i, part.0, attempt]),
-        Action::Answer { query, whole, .. } => json!(["settleQuery", i, query.0, whole]),
-        Action::Refuse { query, hold_off, .. } => json!(["notNow", i, query.0, nanos(hold_off)]),
+        Action::Answer { query, complete: whole, .. } => json!(["settleQuery", i, query.0, whole]),
+        Action::Refuse { query, retry_after: hold_off, .. } => json!(["notNow", i, query.0, nanos(hold_off)]),
         Action::Fail { query, .. } => json!(["finishError", i, query.0]),
         Action::SetTimer { timer, at } => json!(["arm", i, at.0, timer.0]),
         Action::WatchServers => json!(["tail", i, true]),
@@ -158,7 +158,7 @@
         Ok(Duration::from_nanos(self.value(at).as_u64().unwrap_or(nanos.max(0.0) as u64)))
     }
 
-    fn event(&self, lists: &BTreeMap<u64, Vec<Listed>>) -> Result<Option<Event>, Fault> {
+    fn event(&self, lists: &BTreeMap<u64, Vec<ServerEntry>>) -> Result<Option<Event>, Fault> {
         let event = match self.name()? {
             "req" => self.request()?,
             "outcome" => Event::Outcome {
@@ -200,8 +200,8 @@
             class: self.index(7, "service")?,
             tenant: self.index(4, "team")?,
             key: self.value(6).as_u64(),
-            repeated: self.value(5).as_bool().unwrap_or(false),
-            left: self.span(9, "timeBudgetNs")?,
+            is_retry: self.value(5).as_bool().unwrap_or(false),
+            time_left: self.span(9, "timeBudgetNs")?,
         }))
     }
 
@@ -209,7 +209,7 @@
         Ok(match self.value(at).as_str() {
             Some("served") => Verdict::Served,
             Some("server_error") => Verdict::Error,
-            Some("turned_away") => Verdict::TurnedAway,
+            Some("turned_away") => Verdict::Rejected,
             Some("no_answer") => Verdict::NoAnswer,
             Some("no_connection") => Verdict::NoConnection,
             Some("connection_lost") => Verdict::ConnectionLost,
@@ -223,7 +223,7 @@
         load_report(|name| self.value(at).get(name).and_then(Value::as_f64))
     }
 
-    fn discovery(&self, lists: &BTreeMap<u64, Vec<Listed>>) -> Result<Event, Fault> {
+    fn discovery(&self, lists: &BTreeMap<u64, Vec<ServerEntry>>) -> Result<Event, Fault> {
         let kind = self.value(2).as_str().ok_or_else(|| self.fault("kind"))?;
         if kind == "broken" {
             return Ok(Event::ServersFailed);
@@ -236,7 +236,7 @@
         }
     }
 
-    fn entries(&self, at: usize) -> Result<Vec<Listed>, Fault> {
+    fn entries(&self, at: usize) -> Result<Vec<ServerEntry>, Fault> {
         let entries = self.value(at).as_array().ok_or_else(|| self.fault("membersList"))?;
         entries
             .iter()
@@ -248,7 +248,7 @@
                 let small = |at: usize, name: &str| {
                     member(at, name).and_then(|n| u32::try_from(n).map_err(|_| self.fault(name)))
                 };
-                Ok(Listed {
+                Ok(ServerEntry {
                     server: ServerId(member(0, "server")?),
                     zone: small(1, "zone")?,
                     cell: small(3, "position")?,
@@ -259,7 +259,7 @@
                         _ => return Err(self.fault("state of an entry")),
                     },
                     started: entry.value(6).as_u64().filter(|&ns| ns > 0).map(Time),
-                    until: None,
+                    send_until: None,
                 })
             })
             .collect()
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -179,13 +179,13 @@
             take_list(&mut core, &mut backend, &list, None);
         }
         let watch = config.discovery.filter(|_| inventory.is_none()).map(|at| {
-            let source = Source::of(&settings.module, settings.drain_grace);
+            let source = Source::of(&settings.router, settings.drain_grace);
             Watch::new(at, known.as_ref(), clock, Pace::new(clock.now(), source, config.seed))
         });
         let peers = config
             .peers
             .take()
-            .filter(|(_, all)| core.talks() && all.len() == settings.module.front_nodes as usize);
+            .filter(|(_, all)| core.gossip_enabled() && all.len() == settings.router.front_nodes as usize);
         let peers = peers.map(|(at, all)| {
             let adopted = upgrade.as_mut().and_then(|upgrade: &mut Upgrade| upgrade.take_datagrams(at));
             let socket = adopted.map_or_else(|| datagrams(at, is_operated), Ok);
@@ -271,7 +271,7 @@
     /// Waits for the first list, a moment at the most. What discovery's agent has counts as told from the process's
     /// first moment, and the list of old may call a server sound that drains or is gone: clients come after it.
     fn await_list(&mut self) -> io::Result<()> {
-        let source = Source::of(&self.settings.module, self.settings.drain_grace);
+        let source = Source::of(&self.settings.router, self.settings.drain_grace);
         let until = self.net.clock.now().after(source.first_list());
         let waits = |broker: &Self| broker.watch.as_ref().is_some_and(|watch| !watch.has_told());
         let (mut ready, mut due) = (Vec::new(), Vec::new());
@@ -306,8 +306,9 @@
     /// Waits until anything is ready or due, or until a time, and does it.
     fn turn(&mut self, ready: &mut Vec<Ready>, due: &mut Vec<Due>, until: Option<Time>) -> io::Result<()> {
         let now = self.net.clock.now();
-        let step = self.core.has_news().then(|| self.last_step.after(self.settings.module.tick));
-        let wake = self.net.wheel.next().into_iter().chain(step).chain(self.core.say_at()).chain(until).min();
+        let step = self.core.has_events().then(|| self.last_step.after(self.settings.router.tick));
+        let wake =
+            self.net.wheel.next().into_iter().chain(step).chain(self.core.gossip_due()).chain(until).min();
         let pause = if self.again.is_empty() { wake.map(|at| at.since(now)) } else { Some(Duration::ZERO) };
         self.net.poll.wait(pause, ready)?;
         let now = self.net.clock.now();
@@ -325,7 +326,7 @@
             self.due(now, what);
         }
         self.gather(now);
-        if self.core.has_news() && now.since(self.last_step) >= self.settings.module.tick {
+        if self.core.has_events() && now.since(self.last_step) >= self.settings.router.tick {
             self.step(now);
         }
         self.say(now);
@@ -339,7 +340,7 @@
         let now = self.net.clock.now();
         self.lifecycle.pass(now);
         if self.lifecycle.is_stopping() {
-            let owed = self.core.open() > 0 || self.clients.values().any(Client::is_owed);
+            let owed = self.core.open_queries() > 0 || self.clients.values().any(Client::is_owed);
             self.lifecycle.left(now, !self.listeners.is_empty(), owed, !self.clients.is_empty());
         }
         self.lifecycle.phase() != LifePhase::Ended
@@ -372,7 +373,7 @@
         match what {
             Due::Module(timer) => self.core.timer(timer),
             Due::Deadline(query) => {
-                if let Some(command) = self.core.deadline(now, query) {
+                if let Some(command) = self.core.check_deadline(now, query) {
                     self.carry_out(now, command);
                 }
             }
@@ -404,7 +405,7 @@
         let (mut now, mut flushed) = (now, Flushed::HeldUp);
         while flushed == Flushed::HeldUp {
             now = self.look_again(now);
-            for command in self.core.take_back_over() {
+            for command in self.core.withdraw_ended() {
                 self.carry_out(now, command);
             }
             flushed = self.backend.flush(&mut self.net, now);
@@ -457,30 +458,30 @@
     fn carry_out(&mut self, now: Time, command: Command) {
         match command {
             // Its query ended after the step that wanted it sent.
-            Command::Send(send) if !self.core.waits_for(send.attempt.0) => {
+            Command::Send(send) if !self.core.is_part_open(send.attempt.0) => {
                 self.core.outcome(now, send.attempt, Verdict::NotSent, None, LoadReport::default());
             }
             Command::Send(send) => {
-                self.net.wheel.arm(send.until, Due::TimeOut(send.attempt));
-                if let Some(latest) = send.latest.filter(|latest| *latest < send.until) {
+                self.net.wheel.arm(send.deadline, Due::TimeOut(send.attempt));
+                if let Some(latest) = send.start_before.filter(|latest| *latest < send.deadline) {
                     self.net.wheel.arm(latest, Due::Latest(send.attempt));
                 }
                 self.backend.send(&mut self.net, now, send);
             }
             Command::Cancel(attempt) => self.backend.give_up(now, attempt, Verdict::Cancelled),
-            Command::TakeBack(attempt) => self.backend.take_back(now, attempt),
+            Command::Withdraw(attempt) => self.backend.take_back(now, attempt),
             Command::CloseIdle(server) => self.backend.close_idle(&self.net, server),
             Command::Probe(server) => self.backend.probe(&mut self.net, now, server),
             Command::Finish(ticket, last) => self.finish(now, ticket, last),
-            Command::Arm(at, timer) => self.net.wheel.arm(at, Due::Module(timer)),
-            Command::ArmDeadline(at, query) => self.net.wheel.arm(at, Due::Deadline(query)),
+            Command::SetTimer(at, timer) => self.net.wheel.arm(at, Due::Module(timer)),
+            Command::SetDeadline(at, query) => self.net.wheel.arm(at, Due::Deadline(query)),
             // The watch goes on by itself.
             Command::WatchServers => {}
         }
     }
 
     fn sweep(&mut self, now: Time) {
-        let pause = SWEEP.min(self.settings.connection_idle / SWEEPS).max(self.settings.module.tick);
+        let pause = SWEEP.min(self.settings.connection_idle / SWEEPS).max(self.settings.router.tick);
         self.net.wheel.arm(now.after(pause), Due::Sweep);
         self.backend.sweep(&self.net, now);
         match self.inventory.as_mut().map(|inventory| inventory.reread(now)) {
--- a/src/broker/clients.rs
+++ b/src/broker/clients.rs
@@ -2,7 +2,7 @@
 
 use super::{Broker, OGC_LISTEN, SLOW};
 use crate::control::Outcome;
-use crate::core::{Final, NotTaken, Ticket};
+use crate::core::{FinalAnswer, NotAccepted, ReplyId};
 use crate::front::{Pending, Taken};
 use crate::interface::Time;
 use crate::net::client::{Client, Expired, Liveness, Phase, Whole};
@@ -90,17 +90,20 @@
             Err(error) => (false, Taken::Answered(Response::text(error.status(), error.to_string()))),
         };
         // The client's time counts from its sending, of which the first byte in is the nearest sign.
-        let spent = now.since(client.begun()) + self.settings.module.on_the_way;
+        let spent = now.since(client.begun()) + self.settings.router.network_allowance;
         client.took(keep_alive);
         let response = match taken {
             Taken::Answered(response) => response,
             Taken::Query(mut query, pending) => {
-                query.left = query.left.saturating_sub(spent).min(self.lifecycle.ends_by.since(now));
-                if let Some(holder) = self.core.holder(&query.name).filter(|holder| holder.0 != key as u64) {
+                query.time_left =
+                    query.time_left.saturating_sub(spent).min(self.lifecycle.ends_by.since(now));
+                if let Some(holder) =
+                    self.core.reply_id_of(&query.name).filter(|holder| holder.0 != key as u64)
+                {
                     // Its client may have gone and sent the request once more, on this connection.
                     self.look_at(now, holder.0 as usize);
                 }
-                let taken = self.core.take(now, query, Ticket(key as u64));
+                let taken = self.core.accept(now, query, ReplyId(key as u64));
                 let Some(client) = self.clients.get_mut(&key) else { return };
                 match taken {
                     Ok(id) => {
@@ -109,8 +112,8 @@
                     }
                     Err(why) => {
                         let outcome = match why {
-                            NotTaken::Full { .. } => Outcome::Throttled,
-                            NotTaken::NameInUse => Outcome::Faulted,
+                            NotAccepted::AtCapacity { .. } => Outcome::Throttled,
+                            NotAccepted::NameInUse => Outcome::Faulted,
                         };
                         self.operations.statistics().request_ended(pending.class, outcome);
                         self.front.not_taken(&pending, why)
@@ -123,14 +126,14 @@
         }
     }
 
-    pub(super) fn finish(&mut self, now: Time, ticket: Ticket, last: Final) {
+    pub(super) fn finish(&mut self, now: Time, ticket: ReplyId, last: FinalAnswer) {
         let (key, stay) = (ticket.0 as usize, !self.lifecycle.is_closing());
         let Some(client) = self.clients.get_mut(&key) else { return };
         let Some(pending) = client.finish(now) else { return };
         let outcome = match last {
-            Final::Answered { .. } => Outcome::Fulfilled,
-            Final::Refused { .. } => Outcome::Throttled,
-            Final::Failed => Outcome::Faulted,
+            FinalAnswer::Answered { .. } => Outcome::Fulfilled,
+            FinalAnswer::Refused { .. } => Outcome::Throttled,
+            FinalAnswer::Failed => Outcome::Faulted,
         };
         self.operations.statistics().request_ended(pending.class, outcome);
         client.answer(now, self.front.answer(&pending, last), stay);
@@ -161,7 +164,7 @@
     /// Ends connections that have stood as they do for too long.
     pub(super) fn sweep_clients(&mut self, now: Time) {
         let longest =
-            self.settings.module.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+            self.settings.router.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
         let expired = |(key, client): (&usize, &Client<Pending>)| Some((*key, client.expired(now, longest)?));
         let expired: Vec<(usize, Expired)> = self.clients.iter().filter_map(expired).collect();
         for (key, then) in expired {
--- a/src/broker/discovery.rs
+++ b/src/broker/discovery.rs
@@ -100,10 +100,10 @@
 /// Gives a list to the core, and its addresses to the connections.
 pub(super) fn take_list(core: &mut Core, backend: &mut Backend, list: &Listing, until: Option<Time>) {
     let members: Vec<_> = list.members.iter().map(|(member, _)| member.clone()).collect();
-    for server in core.take_list(list.whole, list.index, &members, until) {
+    for server in core.apply_server_list(list.whole, list.index, &members, until) {
         backend.shut(server);
     }
-    let (up, draining) = core.listed();
+    let (up, draining) = core.server_counts();
     tracing::info!("servers: version {}, {up} up, {draining} draining", list.index);
     for (member, address) in &list.members {
         if let (ServerState::Up, Some(address)) = (member.state, address) {
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -19,7 +19,7 @@
     pub(super) fn heed_drain(&mut self, now: Time) {
         match self.operations.drain_requested() {
             true if self.lifecycle.drain(now) => {
-                tracing::info!("draining, {} clients, {} open", self.clients.len(), self.core.open());
+                tracing::info!("draining, {} clients, {} open", self.clients.len(), self.core.open_queries());
                 self.net.wheel.arm(self.lifecycle.drain_rests_until, Due::DrainRest);
             }
             false if self.lifecycle.resume() => tracing::info!("no longer draining"),
@@ -30,14 +30,14 @@
     /// Shows operators where the process stands.
     pub(super) fn show_operators(&mut self) {
         let statistics = self.operations.statistics();
-        statistics.set_open_requests(self.core.open());
+        statistics.set_open_requests(self.core.open_queries());
         statistics.attempts_relayed(self.backend.take_relayed());
         self.operations.set_ready(self.is_ready());
     }
 
     /// Sets the gauges that take a look at all servers.
     pub(super) fn set_gauges(&mut self, now: Time) {
-        let (up, draining) = self.core.listed();
+        let (up, draining) = self.core.server_counts();
         self.operations.statistics().set_servers(up + draining, self.core.avoided().len());
         self.net.wheel.arm(now.after(GAUGES_PAUSE), Due::Gauges);
     }
--- a/src/broker/peers.rs
+++ b/src/broker/peers.rs
@@ -1,8 +1,8 @@
 //! Datagrams between brokers.
 
 use super::{Broker, PEERS};
+use crate::gossip;
 use crate::interface::Time;
-use crate::word;
 
 /// Datagrams of other brokers taken in one turn.
 const MAX_DATAGRAMS: usize = 128;
@@ -10,7 +10,7 @@
 impl Broker {
     /// Tells other brokers what is due. What can't be sent now is left: the next word comes soon.
     pub(super) fn say(&mut self, now: Time) {
-        for (datagram, hearers) in self.core.say(now) {
+        for (datagram, hearers) in self.core.take_gossip(now) {
             let Some((socket, all)) = &self.peers else { continue };
             for at in hearers.into_iter().filter_map(|hearer| all.get(hearer)) {
                 let _ = socket.send_to(&datagram, at);
@@ -21,10 +21,10 @@
     /// Takes what other brokers say, and nobody else: a bounded number of datagrams in one turn.
     pub(super) fn hear(&mut self) {
         let Some((socket, all)) = &self.peers else { return };
-        let mut bytes = [0; word::LONGEST + 1];
+        let mut bytes = [0; gossip::MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS {
             match socket.recv_from(&mut bytes) {
-                Ok((length, from)) if all.contains(&from) => self.core.told(&bytes[..length]),
+                Ok((length, from)) if all.contains(&from) => self.core.receive_gossip(&bytes[..length]),
                 Ok(_) => {}
                 Err(_) => break,
             }
--- a/src/broker/signals.rs
+++ b/src/broker/signals.rs
@@ -67,7 +67,7 @@
         if address == watch.address() {
             return;
         }
-        tracing::info!("reload: discovery is now at {address}, {} open", self.core.open());
+        tracing::info!("reload: discovery is now at {address}, {} open", self.core.open_queries());
         if let Some(store) = &mut self.store {
             store.moved(address);
         }
@@ -78,12 +78,12 @@
     }
 
     pub(super) fn stop(&mut self, now: Time) {
-        if !self.lifecycle.stop(now, &self.settings.module.classes) {
+        if !self.lifecycle.stop(now, &self.settings.router.classes) {
             return;
         }
         self.operations.set_stopping();
-        tracing::info!("stopping, {} open", self.core.open());
-        self.core.note("stopping");
+        tracing::info!("stopping, {} open", self.core.open_queries());
+        self.core.add_note("stopping");
         let (listens, serves) = (self.lifecycle.listens_until, self.lifecycle.serves_until);
         self.net.wheel.arm(listens, Due::StopListening);
         self.net.wheel.arm(serves.max(listens), Due::StopServing);
@@ -92,7 +92,7 @@
 
     /// The broker has no more time: what is open gets its answer now.
     pub(super) fn fail_open(&mut self, now: Time) {
-        for command in self.core.fail_open() {
+        for command in self.core.fail_open_queries() {
             self.carry_out(now, command);
         }
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -273,12 +273,12 @@
         };
         let address = |(place, key, value): (String, String, String)| address(&place, &key, &value);
         let settings = SiteSettings::read(&file.settings)
-            .map_err(|e| faults.push(error(place, &format!("settings.{}", e.key), &e.fault)))
+            .map_err(|e| faults.push(error(place, &format!("settings.{}", e.key), &e.problem)))
             .ok();
         if let Some(settings) = &settings {
-            let found = settings.module.faults();
-            faults.extend(found.into_iter().map(|e| error(place, &key_of(e.field), e.fault)));
-            for (class, rules) in settings.module.classes.iter().enumerate() {
+            let found = settings.router.errors();
+            faults.extend(found.into_iter().map(|e| error(place, &key_of(e.field), e.problem)));
+            for (class, rules) in settings.router.classes.iter().enumerate() {
                 if rules.follow_up > 0 {
                     let key = format!("settings.extra.followUp[{class}]");
                     faults.push(error(place, &key, "a second step is not spoken by any front"));
--- a/src/config/ogc.rs
+++ b/src/config/ogc.rs
@@ -9,7 +9,7 @@
 
 use super::ConfigError;
 use super::settings::SiteSettings;
-use crate::interface::Effect;
+use crate::interface::RetrySafety;
 
 /// Features on a page where the request names no number.
 const COUNT: u32 = 100;
@@ -184,8 +184,9 @@
             }
             let class = known.unwrap_or_default();
             // A feature query is a read: it must never reach a class that writes.
-            let writes =
-                |class: usize| settings.module.classes.get(class).map(|c| c.effect) != Some(Effect::Safe);
+            let writes = |class: usize| {
+                settings.router.classes.get(class).map(|c| c.retry_safety) != Some(RetrySafety::Safe)
+            };
             if known.is_some_and(writes) {
                 faults.push(fault(line, key("class"), "is a class that writes".into()));
             }
@@ -197,9 +198,9 @@
                 faults.push(fault(line, key("grid.extent"), "must be west, south, east, north".into()));
             }
             let blocks = u64::from(columns) * u64::from(rows);
-            if blocks == 0 || u64::from(first) + blocks > u64::from(settings.module.shards) {
+            if blocks == 0 || u64::from(first) + blocks > u64::from(settings.router.shards) {
                 let why =
-                    format!("holds {blocks} blocks from {first} on; there are {}", settings.module.shards);
+                    format!("holds {blocks} blocks from {first} on; there are {}", settings.router.shards);
                 faults.push(fault(line, key("grid"), why));
             }
             let grid = Grid { extent, columns, rows, first };
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::config::ogc::Ogc;
 use crate::config::settings::SiteSettings;
-use crate::core::{Final, NewQuery, NotTaken};
+use crate::core::{FinalAnswer, NewQuery, NotAccepted};
 use crate::net::http::{Request, Response};
 
 /// What is kept of a request until its final answer.
@@ -77,7 +77,7 @@
     }
 
     /// A final answer, on the wire that the request came on.
-    pub fn answer(&self, pending: &Pending, last: Final) -> Response {
+    pub fn answer(&self, pending: &Pending, last: FinalAnswer) -> Response {
         match (&pending.origin, &self.ogc) {
             (Origin::Ogc(page), Some(front)) => front.answer(page, last),
             _ => platform::answer(last),
@@ -85,12 +85,16 @@
     }
 
     /// The answer to a request that the core did not take.
-    pub fn not_taken(&self, pending: &Pending, why: NotTaken) -> Response {
+    pub fn not_taken(&self, pending: &Pending, why: NotAccepted) -> Response {
         match (&pending.origin, why) {
-            (Origin::Ogc(_), NotTaken::Full { hold_off }) => ogc::refusal(hold_off.as_secs_f64()),
-            (Origin::Ogc(_), NotTaken::NameInUse) => ogc::refusal(0.0),
-            (Origin::Platform, NotTaken::Full { hold_off }) => platform::refusal(hold_off),
-            (Origin::Platform, NotTaken::NameInUse) => Response::text(409, "X-Request-ID: is in use"),
+            (Origin::Ogc(_), NotAccepted::AtCapacity { retry_after: hold_off }) => {
+                ogc::refusal(hold_off.as_secs_f64())
+            }
+            (Origin::Ogc(_), NotAccepted::NameInUse) => ogc::refusal(0.0),
+            (Origin::Platform, NotAccepted::AtCapacity { retry_after: hold_off }) => {
+                platform::refusal(hold_off)
+            }
+            (Origin::Platform, NotAccepted::NameInUse) => Response::text(409, "X-Request-ID: is in use"),
         }
     }
 }
--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::config::ogc::{FeatureType, Ogc};
 use crate::config::settings::SiteSettings;
-use crate::core::{Final, NewPart, NewQuery};
+use crate::core::{FinalAnswer, NewPart, NewQuery};
 use crate::front::platform::{key, tenant};
 use crate::net::http::{Request, Response};
 
@@ -201,10 +201,10 @@
             class: feature.class,
             tenant,
             key: Some(key(&about)),
-            repeated: false,
-            left: settings.module.classes[feature.class].deadline,
-            idempotency: None,
-            text,
+            is_retry: false,
+            time_left: settings.router.classes[feature.class].deadline,
+            idempotency_key: None,
+            body: text,
             parts: page.iter().map(|&shard| NewPart { shard, weight, hint: None }).collect(),
         };
         Ok(Asked::Query(query, known))
@@ -253,9 +253,9 @@
     }
 
     /// The answer to a page, whole or not.
-    pub fn answer(&self, page: &Page, last: Final) -> Response {
+    pub fn answer(&self, page: &Page, last: FinalAnswer) -> Response {
         match last {
-            Final::Answered { whole, values } => {
+            FinalAnswer::Answered { complete: whole, values } => {
                 let features: Vec<(u32, &str)> = values
                     .iter()
                     .filter_map(|(block, value)| Some((*block, value.as_deref().filter(|v| xml::fits(v))?)))
@@ -264,8 +264,8 @@
                 let partial = !whole || features.len() < values.len();
                 xml::response(200, xml::collection(&self.config, page, &features, partial))
             }
-            Final::Refused { hold_off } => refusal(hold_off.as_secs_f64()),
-            Final::Failed => {
+            FinalAnswer::Refused { retry_after: hold_off } => refusal(hold_off.as_secs_f64()),
+            FinalAnswer::Failed => {
                 Exception::new("NoApplicableCode", "", "the tile servers did not answer in time").response()
             }
         }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -7,7 +7,7 @@
 
 use crate::backend::is_keyed;
 use crate::config::settings::SiteSettings;
-use crate::core::{Final, NewPart, NewQuery};
+use crate::core::{FinalAnswer, NewPart, NewQuery};
 use crate::net::http::{Request, Response};
 
 /// Sums of weights may be off from one by so much.
@@ -68,8 +68,8 @@
     }
     let name = word(request, "X-Request-ID").ok_or_else(|| bad("X-Request-ID: bad or missing"))?;
     let left = request.header("X-Timeout").and_then(span).ok_or_else(|| bad("X-Timeout: bad or missing"))?;
-    let rules = &settings.module.classes[class];
-    let idempotency = if is_keyed(rules.effect) {
+    let rules = &settings.router.classes[class];
+    let idempotency = if is_keyed(rules.retry_safety) {
         Some(word(request, "Idempotency-Key").ok_or_else(|| bad("Idempotency-Key: bad or missing"))?)
     } else {
         None
@@ -82,7 +82,7 @@
         .collect();
     let mut shards = HashSet::new();
     let sound = |part: &NewPart| {
-        part.shard < settings.module.shards && (0.0..=1.0 + WEIGHT_SLACK).contains(&part.weight)
+        part.shard < settings.router.shards && (0.0..=1.0 + WEIGHT_SLACK).contains(&part.weight)
     };
     if parts.is_empty() || !parts.iter().all(|part| sound(part) && shards.insert(part.shard)) {
         return Err(bad("tablets: each must be a tablet there is, once, with its fraction"));
@@ -95,10 +95,10 @@
         class,
         tenant: tenant(request, settings).map_err(|fault| bad(&fault))?,
         key: request.header("X-Route-Key").map(key),
-        repeated: request.header("X-Retried") == Some("1"),
-        left: left.min(rules.deadline),
-        idempotency,
-        text: body.statement,
+        is_retry: request.header("X-Retried") == Some("1"),
+        time_left: left.min(rules.deadline),
+        idempotency_key: idempotency,
+        body: body.statement,
         parts,
     }))
 }
@@ -147,9 +147,9 @@
 }
 
 /// A final answer on the wire.
-pub fn answer(last: Final) -> Response {
+pub fn answer(last: FinalAnswer) -> Response {
     match last {
-        Final::Answered { whole, values } => {
+        FinalAnswer::Answered { complete: whole, values } => {
             let mut body = format!("{{\"full\":{whole},\"pieces\":[");
             let mut first = true;
             for (shard, value) in values {
@@ -163,8 +163,8 @@
             let body = body.into_bytes();
             Response { status: 200, content_type: "application/json", headers: Vec::new(), body }
         }
-        Final::Refused { hold_off } => refusal(hold_off),
-        Final::Failed => Response::text(502, "failed"),
+        FinalAnswer::Refused { retry_after: hold_off } => refusal(hold_off),
+        FinalAnswer::Failed => Response::text(502, "failed"),
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod upgrade;
 
 pub use badgergauge_control as control;
-pub use badgergauge_core::{core, decide, interface, word};
+pub use badgergauge_core::{core, decide, gossip, interface};
 pub use badgergauge_discovery as discovery;
 pub use badgergauge_handover as handover;
 pub use badgergauge_net as net;
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
-use crate::interface::Effect;
+use crate::interface::RetrySafety;
 
 fn classes(aim_ms: u64, deadline_ms: u64) -> Vec<Class> {
     let [aim, deadline] = [aim_ms, deadline_ms].map(Duration::from_millis);
-    let (worth, late_share, effect, need) = (1.0, 0.0, Effect::Safe, 1.0);
+    let (worth, late_share, effect, need) = (1.0, 0.0, RetrySafety::Safe, 1.0);
     vec![Class {
         aim,
         deadline,
         worth,
         late_share,
-        effect,
+        retry_safety: effect,
         need,
         floor: 1.0,
         partial_worth: 0.0,
--- a/src/record.rs
+++ b/src/record.rs
@@ -51,15 +51,15 @@
         };
         let plan = Plan { source, limits: limits(&trace), queue: trace.queue };
         let recorder = Recorder::start(plan, Box::new(folder)).map_err(named)?;
-        core.observe();
-        core.note("started");
+        core.enable_recording();
+        core.add_note("started");
         tracing::info!("trace: recording to {}", trace.dir.display());
         Ok(Some(TraceRecorder { recorder, settings: trace, last: 0 }))
     }
 
     /// Hands over what the core's last step was about.
     pub fn take(&mut self, core: &mut Core) {
-        let Some(observed) = core.observed() else { return };
+        let Some(observed) = core.take_step_record() else { return };
         let (record, names) = from_observed(observed);
         self.last = record.sequence;
         self.recorder.offer(record, names);
--- a/src/state.rs
+++ b/src/state.rs
@@ -44,7 +44,7 @@
 
 /// Whose store a broker's is. The installation is told by what its list and its queries hang on.
 pub fn owner(config: &Config) -> Owner {
-    let module = &config.settings.module;
+    let module = &config.settings.router;
     let site = format!(
         "{:?} {:?} {} {} {}",
         config.settings.zones, config.settings.classes, module.shards, module.cells, module.width
--- a/tests/bounds.rs
+++ b/tests/bounds.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use badgergauge::config::settings::SiteSettings;
-use badgergauge::core::{Command, Core, Member, NewPart, NewQuery, Ticket};
+use badgergauge::core::{Command, Core, Member, NewPart, NewQuery, ReplyId};
+use badgergauge::gossip::{Gossip, Observation};
 use badgergauge::interface::{LoadReport, ServerState, Time, Verdict};
-use badgergauge::word::{Sighting, Word};
 use cap::Cap;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -66,19 +66,19 @@
     /// The number in the name of each cell's server.
     names: [u64; SERVERS as usize],
     /// Another broker of the fleet, which speaks of the servers listed here.
-    other: Word,
+    other: Gossip,
 }
 
 impl Day {
     fn new() -> Self {
         let rng = ChaCha8Rng::seed_from_u64(11);
         let core = Core::new(Arc::new(settings()), 5).expect("sound");
-        let other = Word::new(1, 20, 0.01, Duration::from_millis(500), 3).expect("many");
+        let other = Gossip::new(1, 20, 0.01, Duration::from_millis(500), 3).expect("many");
         let now = Time(1_000_000_000_000);
         let (due, names) = (BTreeMap::new(), [0; SERVERS as usize]);
         let mut day = Day { core, now, due, armed: 0, asked: 0, answered: 0, rng, names, other };
         let all: Vec<Member> = (0..SERVERS).map(|cell| day.member(cell, ServerState::Up)).collect();
-        day.core.take_list(true, 1, &all, None);
+        day.core.apply_server_list(true, 1, &all, None);
         day
     }
 
@@ -96,11 +96,11 @@
     fn replace(&mut self, cell: u32) {
         for state in [ServerState::Draining, ServerState::Removed] {
             let old = self.member(cell, state);
-            self.core.take_list(false, 2, &[old], None);
+            self.core.apply_server_list(false, 2, &[old], None);
         }
         self.names[cell as usize] += 1;
         let new = self.member(cell, ServerState::Up);
-        self.core.take_list(false, 3, &[new], None);
+        self.core.apply_server_list(false, 3, &[new], None);
     }
 
     fn ask(&mut self) {
@@ -112,13 +112,13 @@
             class,
             tenant: 0,
             key: None,
-            repeated: self.rng.random_bool(0.1),
-            left: Duration::from_millis(3000),
-            idempotency: (class == 1).then(|| format!("k{}", self.asked)),
-            text: "t".into(),
+            is_retry: self.rng.random_bool(0.1),
+            time_left: Duration::from_millis(3000),
+            idempotency_key: (class == 1).then(|| format!("k{}", self.asked)),
+            body: "t".into(),
             parts: shards.map(|shard| NewPart { shard, weight: 0.5, hint: None }).to_vec(),
         };
-        let taken = self.core.take(self.now, query, Ticket(self.asked));
+        let taken = self.core.accept(self.now, query, ReplyId(self.asked));
         if let Some(id) = taken.ok().filter(|_| self.rng.random_bool(0.05)) {
             let leaves = self.now.after(Duration::from_millis(self.rng.random_range(1..600)));
             self.arm(leaves, Due::Gone(id));
@@ -132,12 +132,12 @@
                     let took = Duration::from_millis(self.rng.random_range(2..60));
                     let (verdict, at) = match self.rng.random_range(0..100) {
                         0..3 => (Verdict::Error, self.now.after(took)),
-                        3..5 => (Verdict::NoAnswer, send.until),
-                        5..8 => (Verdict::TurnedAway, self.now.after(took)),
+                        3..5 => (Verdict::NoAnswer, send.deadline),
+                        5..8 => (Verdict::Rejected, self.now.after(took)),
                         8..10 => (Verdict::ConnectionLost, self.now.after(took)),
                         _ => (Verdict::Served, self.now.after(took)),
                     };
-                    self.arm(at.min(send.until), Due::Outcome(send.attempt, verdict));
+                    self.arm(at.min(send.deadline), Due::Outcome(send.attempt, verdict));
                 }
                 // Word takes its time; what had ended by then counts as it had.
                 Command::Cancel(attempt) => {
@@ -145,10 +145,10 @@
                     self.arm(at, Due::Outcome(attempt, Verdict::Cancelled));
                 }
                 Command::Finish(..) => self.answered += 1,
-                Command::Arm(at, timer) => self.arm(at, Due::Timer(timer)),
-                Command::ArmDeadline(at, query) => self.arm(at, Due::Deadline(query)),
+                Command::SetTimer(at, timer) => self.arm(at, Due::Timer(timer)),
+                Command::SetDeadline(at, query) => self.arm(at, Due::Deadline(query)),
                 // All that is sent is written at once here.
-                Command::TakeBack(_) => {}
+                Command::Withdraw(_) => {}
                 Command::CloseIdle(_) | Command::Probe(_) | Command::WatchServers => {}
             }
         }
@@ -168,7 +168,7 @@
                         let value = (verdict == Verdict::Served).then(|| "v".to_owned());
                         self.core.outcome(self.now, attempt, verdict, value, LoadReport::default());
                     }
-                    Due::Deadline(query) => commands.extend(self.core.deadline(self.now, query)),
+                    Due::Deadline(query) => commands.extend(self.core.check_deadline(self.now, query)),
                     Due::Timer(timer) => self.core.timer(timer),
                     Due::Gone(query) => self.core.client_gone(query),
                 }
@@ -177,14 +177,14 @@
             let cell = self.rng.random_range(0..SERVERS);
             let server = self.core.server_id(&self.member(cell, ServerState::Up).name);
             let (class, verdict, took) = (0, Verdict::Served, Duration::from_millis(20));
-            let server = badgergauge::word::short(server);
-            self.other.saw(self.now, Sighting { server, class, verdict, took });
-            for (datagram, _) in self.other.say(self.now) {
-                self.core.told(&datagram);
+            let server = badgergauge::gossip::short_id(server);
+            self.other.record(self.now, Observation { server, class, verdict, took });
+            for (datagram, _) in self.other.take_due(self.now) {
+                self.core.receive_gossip(&datagram);
             }
             self.core.step(self.now, &mut commands);
             self.carry_out(&mut commands);
-            drop(self.core.say(self.now));
+            drop(self.core.take_gossip(self.now));
             most = most.max(HELD.allocated());
         }
         most
@@ -218,6 +218,6 @@
         day.ask();
     }
     // A query of two parts counts as three; one may begin under the bound and end over it.
-    assert!(day.core.open() * 3 <= most + 2, "{} open of {most}", day.core.open());
-    assert!(day.core.open() * 3 >= most, "{} open of {most}", day.core.open());
+    assert!(day.core.open_queries() * 3 <= most + 2, "{} open of {most}", day.core.open_queries());
+    assert!(day.core.open_queries() * 3 >= most, "{} open of {most}", day.core.open_queries());
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -50,7 +50,7 @@
         ColdStart { from: FROM, warm_after: ms(WARM_AFTER), fall_multiple: MULTIPLE, window: ms(1000) };
     let settings = Settings { front_nodes: play.nodes, shards: 1, budget: None, cold, ..settings() };
     let at = |now: u64| Time((1_000 + now) * 1_000_000);
-    let both = |started: bool| vec![up(1), Listed { started: started.then_some(at(STARTS)), ..up(2) }];
+    let both = |started: bool| vec![up(1), ServerEntry { started: started.then_some(at(STARTS)), ..up(2) }];
     let born = |rng: &mut ChaCha8Rng| Router::new(settings.clone(), rng.random()).expect("settings hold");
     // Some see several times as much as others.
     let shares: Vec<f64> = (0..play.nodes).map(|_| 0.25 + 3.0 * rng.random::<f64>().powi(3)).collect();
@@ -103,8 +103,8 @@
                     class,
                     tenant,
                     key,
-                    repeated,
-                    left,
+                    is_retry: repeated,
+                    time_left: left,
                 }));
                 events[number].push(Event::Part(Part {
                     id: PartId(id + 1),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,7 +15,7 @@
         deadline: ms(3000),
         worth: 1.0,
         late_share: 0.0,
-        effect: Effect::Safe,
+        retry_safety: RetrySafety::Safe,
         need: 1.0,
         floor: 1.0,
         partial_worth: 0.0,
@@ -37,24 +37,31 @@
         call_cost: Duration::ZERO,
         tick: ms(5),
         max_attempts: 4,
-        second_copies: true,
+        hedging: true,
         cancel: true,
         may_probe: true,
         reports_by_probe: false,
         reports_queue: true,
-        repeats_marked: true,
-        max_hold_off: ms(1000),
+        retries_marked: true,
+        max_retry_after: ms(1000),
         list_on_request: false,
         cross_zone_price: 0.0,
-        on_the_way: Duration::ZERO,
+        network_allowance: Duration::ZERO,
         handshake_price: 0.0,
         budget: Some(Budget { window: ms(5000), free: 5.0, share: 0.05 }),
         cold: ColdStart { from: 0.2, warm_after: ms(10_000), fall_multiple: 3.0, window: ms(1000) },
     }
 }
 
-pub fn up(server: u64) -> Listed {
-    Listed { server: ServerId(server), zone: 0, cell: 0, state: ServerState::Up, started: None, until: None }
+pub fn up(server: u64) -> ServerEntry {
+    ServerEntry {
+        server: ServerId(server),
+        zone: 0,
+        cell: 0,
+        state: ServerState::Up,
+        started: None,
+        send_until: None,
+    }
 }
 
 /// A router and its clock.
@@ -66,7 +73,7 @@
 }
 
 impl Bench {
-    pub fn new(settings: Settings, servers: Vec<Listed>) -> Self {
+    pub fn new(settings: Settings, servers: Vec<ServerEntry>) -> Self {
         let deadlines = settings.classes.iter().map(|class| class.deadline).collect();
         let router = Router::new(settings, 7).expect("settings hold");
         let mut bench = Bench { router, now: Time(1_000_000_000), next: 1, deadlines };
@@ -100,8 +107,8 @@
             class,
             tenant: 0,
             key: None,
-            repeated: false,
-            left: self.deadlines[class],
+            is_retry: false,
+            time_left: self.deadlines[class],
         })];
         for (index, (shard, weight)) in shards.iter().zip(weights).enumerate() {
             events.push(Event::Part(Part {
@@ -131,7 +138,8 @@
         self.next += 2;
         let (number, left) = (QueryNumber(id), ms(left));
         let (class, tenant, key) = (0, 0, None);
-        let query = Query { id: QueryId(id), number, class, tenant, key, repeated, left };
+        let query =
+            Query { id: QueryId(id), number, class, tenant, key, is_retry: repeated, time_left: left };
         let part = Part { id: PartId(id + 1), query: number, shard: ShardId(0), weight: 1.0, hint: None };
         (id, self.step(&[Event::Query(query), Event::Part(part)]))
     }
@@ -163,8 +171,7 @@
 
 /// Whether a query is answered, and marked so.
 pub fn answers(actions: &[Action], id: u64, marked: bool) -> bool {
-    let is =
-        |a: &Action| matches!(a, Action::Answer { query, whole, .. } if query.0 == id && *whole == marked);
+    let is = |a: &Action| matches!(a, Action::Answer { query, complete: whole, .. } if query.0 == id && *whole == marked);
     actions.iter().any(is)
 }
 
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -28,7 +28,7 @@
 
 impl World {
     fn new(brokers: usize, servers: usize, service: u64, settings: &Settings) -> Self {
-        let list: Vec<Listed> = (0..servers as u64).map(up).collect();
+        let list: Vec<ServerEntry> = (0..servers as u64).map(up).collect();
         let router = |seed: u64| {
             let mut router = Router::new(settings.clone(), seed).expect("settings hold");
             router.step(Time(1), &[Event::Servers(list.clone())], &mut Vec::new());
@@ -76,7 +76,8 @@
             let number = QueryNumber(id);
             let (class, key, repeated, left) = (0, None, false, ms(3000));
             let tenant = told(tenant);
-            let query = Query { id: QueryId(id), number, class, tenant, key, repeated, left };
+            let query =
+                Query { id: QueryId(id), number, class, tenant, key, is_retry: repeated, time_left: left };
             let part = Part { id: PartId(id + 1), query: number, shard: ShardId(0), weight: 1.0, hint: None };
             events[broker].extend([Event::Query(query), Event::Part(part)]);
         }
@@ -155,8 +156,15 @@
     let id = 1000 + bench.now.0 / 1_000_000;
     bench.now = bench.now.after(ms(1000));
     let number = QueryNumber(id);
-    let query =
-        Query { id: QueryId(id), number, class: 0, tenant: 0, key: None, repeated: false, left: ms(3000) };
+    let query = Query {
+        id: QueryId(id),
+        number,
+        class: 0,
+        tenant: 0,
+        key: None,
+        is_retry: false,
+        time_left: ms(3000),
+    };
     let part = Part { id: PartId(id + 1), query: number, shard: ShardId(0), weight: 1.0, hint };
     let actions = bench.step(&[Event::Query(query), Event::Part(part)]);
     let predicted = actions.iter().find_map(|action| match action {
@@ -287,7 +295,7 @@
         if restarted {
             // It started long enough ago to be warm.
             let started = Some(bench.now.before(ms(60_000)));
-            bench.step(&[Event::ServersChanged(vec![Listed { started, ..up(1) }])]);
+            bench.step(&[Event::ServersChanged(vec![ServerEntry { started, ..up(1) }])]);
         }
         (0..40).filter(|_| sends(&bench.query(0, &[0]).1).iter().any(|(_, server)| *server == 1)).count()
     };
@@ -318,7 +326,7 @@
 #[test]
 fn a_hot_key_uses_all_servers_of_its_set() {
     let settings = Settings { cells: 2, budget: None, batch: 8, call_cost: ms(67), ..settings() };
-    let servers = (1..=6).map(|n| Listed { cell: u32::from(n > 3), ..up(n) }).collect();
+    let servers = (1..=6).map(|n| ServerEntry { cell: u32::from(n > 3), ..up(n) }).collect();
     let mut bench = Bench::new(settings, servers);
     let (mut sent, mut free_at, mut out) = ([0; 7], [Time(0); 7], Vec::new());
     for round in 0..300_u64 {
@@ -328,7 +336,8 @@
         let done = done.into_iter().map(|(_, part, took)| outcome(part, 0, Verdict::Served, took));
         let mut events: Vec<Event> = done.collect();
         let (number, key, left) = (QueryNumber(id), Some(77), ms(3000));
-        let query = Query { id: QueryId(id), number, class: 0, tenant: 0, key, repeated: false, left };
+        let query =
+            Query { id: QueryId(id), number, class: 0, tenant: 0, key, is_retry: false, time_left: left };
         let part = Part { id: PartId(id + 1), query: number, shard: ShardId(0), weight: 1.0, hint: None };
         events.extend([Event::Query(query), Event::Part(part)]);
         for (part, server) in sends(&bench.step(&events)) {
--- a/tests/word.rs
+++ b/tests/gossip.rs
@@ -4,8 +4,8 @@
 use std::process::Child;
 use std::time::Duration;
 
+use badgergauge::gossip;
 use badgergauge::interface::Verdict;
-use badgergauge::word;
 use badgergauge_standin::TileServer;
 use serde_json::Value;
 
@@ -61,8 +61,8 @@
         assert!(ask(&address, name).starts_with("HTTP/1.1 200"), "{name}");
         let mut bytes = [0; 512];
         let (length, from) = heard.recv_from(&mut bytes).expect("all nine hear it");
-        let seen = word::read(&bytes[..length]);
-        assert!(length <= word::LONGEST, "{length} bytes");
+        let seen = gossip::decode(&bytes[..length]);
+        assert!(length <= gossip::MAX_DATAGRAM_BYTES, "{length} bytes");
         assert_eq!(seen.iter().map(|s| (s.class, s.verdict)).collect::<Vec<_>>(), [(0, Verdict::Served)]);
         from
     };
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -17,12 +17,12 @@
 const LATER_ORIGIN: Duration = Duration::from_secs(400);
 const STREAM_SEED: u64 = 11;
 
-fn fleet() -> Vec<Listed> {
-    (0..6).map(|id| Listed { cell: id as u32 % 2, ..up(id) }).collect()
+fn fleet() -> Vec<ServerEntry> {
+    (0..6).map(|id| ServerEntry { cell: id as u32 % 2, ..up(id) }).collect()
 }
 
 fn site() -> Settings {
-    let short = Class { aim: ms(600), effect: Effect::Keyed(ms(2000)), ..class() };
+    let short = Class { aim: ms(600), retry_safety: RetrySafety::Keyed(ms(2000)), ..class() };
     Settings { cells: 2, shards: 4, classes: vec![class(), short], ..settings() }
 }
 
@@ -51,8 +51,8 @@
                 class,
                 tenant: 0,
                 key: Some(number),
-                repeated: false,
-                left: ms(3000),
+                is_retry: false,
+                time_left: ms(3000),
             };
             let part = Part {
                 id: PartId(id + 1),
@@ -175,8 +175,8 @@
     Settings { front_nodes: 1, shards: 1, budget: None, cold, ..settings() }
 }
 
-fn with_start(started: Time) -> Vec<Listed> {
-    vec![up(1), Listed { started: Some(started), ..up(2) }]
+fn with_start(started: Time) -> Vec<ServerEntry> {
+    vec![up(1), ServerEntry { started: Some(started), ..up(2) }]
 }
 
 /// A window's work at the warmth of the start, in seconds; the ramp of 100 s adds less than the last term meanwhile.
@@ -255,7 +255,8 @@
     let mut new = successor(site(), old.now.after(LATER_ORIGIN));
     new.router.restore(new.now, &old.router.snapshot(old.now)).expect("the same settings");
     let started = Some(new.now);
-    let list = fleet().into_iter().map(|l| if l.server == ServerId(3) { Listed { started, ..l } } else { l });
+    let list =
+        fleet().into_iter().map(|l| if l.server == ServerId(3) { ServerEntry { started, ..l } } else { l });
     new.step(&[Event::Servers(list.collect())]);
     let servers = new.router.snapshot(new.now).servers;
     assert_eq!((servers[&ServerId(3)].bad, servers[&ServerId(3)].fit.count), (0.0, 0.0));
@@ -388,7 +389,7 @@
     let further = |bench: &mut Bench| {
         let (id, _) = bench.query(0, &[0]);
         bench.now = bench.now.after(ms(5));
-        sends(&bench.end(id + 1, 0, Verdict::TurnedAway, ms(5))).len()
+        sends(&bench.end(id + 1, 0, Verdict::Rejected, ms(5))).len()
     };
     let mut old = Bench::new(settings.clone(), (1..4).map(up).collect());
     assert_eq!([further(&mut old), further(&mut old), further(&mut old)], [1, 1, 0]);
@@ -439,7 +440,7 @@
 #[test]
 fn one_that_drains_is_avoided_until_it_is_up_again() {
     let mut bench = holders();
-    let drains = Listed { state: ServerState::Draining, ..up(3) };
+    let drains = ServerEntry { state: ServerState::Draining, ..up(3) };
     bench.step(&[Event::ServersChanged(vec![drains])]);
     assert_eq!(bench.router.avoided(), [ServerId(3)]);
     bench.step(&[Event::ServersChanged(vec![up(3)])]);
@@ -448,7 +449,7 @@
 
 #[test]
 fn one_that_fails_or_is_lost_is_avoided_until_it_is_met_again() {
-    for verdict in [Verdict::Error, Verdict::ConnectionLost, Verdict::NoConnection, Verdict::TurnedAway] {
+    for verdict in [Verdict::Error, Verdict::ConnectionLost, Verdict::NoConnection, Verdict::Rejected] {
         let mut bench = holders();
         serve_many(&mut bench, 30, Verdict::Served);
         assert!(serve_many(&mut bench, 30, verdict) > 0);
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use badgergauge::word::{Sighting, Word, read, short};
+use badgergauge::gossip::{Gossip, Observation, decode, short_id};
 use badgergauge::*;
 use common::*;
 
@@ -17,8 +17,8 @@
         class: 0,
         tenant: 0,
         key: None,
-        repeated: false,
-        left: ms(500),
+        is_retry: false,
+        time_left: ms(500),
     };
     let part = Part { id: PartId(901), query: QueryNumber(900), shard: ShardId(0), weight: 1.0, hint: None };
     let actions = bench.step(&[Event::Query(query), Event::Part(part)]);
@@ -68,8 +68,8 @@
             class: 0,
             tenant,
             key: None,
-            repeated: false,
-            left: ms(3000),
+            is_retry: false,
+            time_left: ms(3000),
         };
         let part =
             Part { id: PartId(id + 1), query: QueryNumber(id), shard: ShardId(0), weight: 1.0, hint: None };
@@ -143,7 +143,7 @@
             !sends(&bench.query(0, &[0]).1).is_empty()
         })
     };
-    for (verdict, took) in [(Verdict::NoAnswer, 1000), (Verdict::TurnedAway, 3)] {
+    for (verdict, took) in [(Verdict::NoAnswer, 1000), (Verdict::Rejected, 3)] {
         let (few, many) = (rest(2, verdict, took).unwrap(), rest(60, verdict, took).unwrap());
         assert!(few < 10 && many > 2 * few, "{verdict:?}: {few} and {many} tenths of a second");
     }
@@ -154,14 +154,14 @@
 fn a_client_refused_past_its_aim_is_asked_to_stay_away_longest() {
     let hold_off = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Refuse { hold_off, .. } => Some(*hold_off),
+            Action::Refuse { retry_after: hold_off, .. } => Some(*hold_off),
             _ => None,
         })
     };
     let mut bench = Bench::new(settings(), vec![]);
     let (_, actions) = bench.query(0, &[0]);
     let early = hold_off(&actions).expect("nobody holds the shard");
-    let mut bench = Bench::new(Settings { second_copies: false, ..settings() }, vec![up(1)]);
+    let mut bench = Bench::new(Settings { hedging: false, ..settings() }, vec![up(1)]);
     bench.query(0, &[0]);
     let late = (0..110).find_map(|_| hold_off(&bench.wait(ms(10)))).expect("refused at its aim");
     assert!(early < ms(300) && late == ms(1000), "{early:?} {late:?}");
@@ -217,7 +217,7 @@
         for seed in 0..nodes {
             let mut router = Router::new(settings.clone(), seed).expect("settings hold");
             let started = Time(1_000_000_000);
-            let list = vec![up(1), Listed { started: Some(started), ..up(2) }];
+            let list = vec![up(1), ServerEntry { started: Some(started), ..up(2) }];
             router.step(started, &[Event::Servers(list)], &mut Vec::new());
             for round in 0..200_u64 {
                 let now = started.after(ms(50 * round));
@@ -226,7 +226,15 @@
                 if mixed(id).is_multiple_of(rounds_a_part) {
                     let (number, left) = (QueryNumber(id), ms(3000));
                     let (class, tenant, key, repeated) = (0, 0, None, false);
-                    let query = Query { id: QueryId(id), number, class, tenant, key, repeated, left };
+                    let query = Query {
+                        id: QueryId(id),
+                        number,
+                        class,
+                        tenant,
+                        key,
+                        is_retry: repeated,
+                        time_left: left,
+                    };
                     events.push(Event::Query(query));
                     let part = Part {
                         id: PartId(id + 1),
@@ -303,7 +311,7 @@
 /// Retries whose client had waited past the aim took most of the servers' time, and none was worth anything.
 #[test]
 fn an_unmarked_repeat_past_its_aim_is_refused_at_once() {
-    let mut bench = Bench::new(Settings { repeats_marked: false, ..settings() }, vec![up(1)]);
+    let mut bench = Bench::new(Settings { retries_marked: false, ..settings() }, vec![up(1)]);
     // One last try came with all the time that remained, more than first tries have.
     for left in [2000, 2000, 2000, 2700, 2000] {
         let (id, actions) = bench.with_left(left);
@@ -316,8 +324,8 @@
         class: 0,
         tenant: 0,
         key: None,
-        repeated: false,
-        left: ms(left),
+        is_retry: false,
+        time_left: ms(left),
     };
     let part = |left: u64| Part {
         id: PartId(5000 + left),
@@ -337,7 +345,7 @@
 fn parts_in_hand_at_the_aim_are_answered_where_they_earn_more_than_all_later() {
     for (late_share, at_the_aim) in [(0.3, 1), (0.9, 0)] {
         let class = Class { floor: 0.5, partial_worth: 0.8, late_share, ..class() };
-        let settings = Settings { classes: vec![class], second_copies: false, ..settings() };
+        let settings = Settings { classes: vec![class], hedging: false, ..settings() };
         let mut bench = Bench::new(settings, vec![up(1), up(2)]);
         let (id, _) = bench.query(0, &[0, 1, 2, 3]);
         (1..=3).for_each(|p| drop(bench.end(id + p, 0, Verdict::Served, ms(100))));
@@ -348,7 +356,7 @@
 /// Dead servers that the list still named drew all parts once the sound holders were full.
 #[test]
 fn without_copies_a_server_that_gives_no_connection_is_no_way_out_when_the_others_are_full() {
-    let settings = Settings { second_copies: false, budget: None, ..settings() };
+    let settings = Settings { hedging: false, budget: None, ..settings() };
     let mut bench = Bench::new(settings, vec![up(1), up(2)]);
     let mut dead = 0;
     for _ in 0..40 {
@@ -357,7 +365,7 @@
         for number in 0.. {
             let Some((part, server)) = out.pop() else { break };
             dead += usize::from(server == 1);
-            let verdict = if server == 1 { Verdict::NoConnection } else { Verdict::TurnedAway };
+            let verdict = if server == 1 { Verdict::NoConnection } else { Verdict::Rejected };
             out = sends(&bench.end(part, number, verdict, ms(1)));
         }
         bench.wait(ms(20));
@@ -376,7 +384,7 @@
         let mut router = Router::new(settings.clone(), seed).expect("settings hold");
         let mut now = Time(1_000_000_000);
         let started = Time(now.0 + 8_000_000_000);
-        let cold = Listed { started: Some(started), ..up(1) };
+        let cold = ServerEntry { started: Some(started), ..up(1) };
         router.step(now, &[Event::Servers(vec![up(1)])], &mut Vec::new());
         for round in 0..400_u64 {
             now = now.after(ms(50));
@@ -394,8 +402,8 @@
                     class,
                     tenant,
                     key,
-                    repeated,
-                    left,
+                    is_retry: repeated,
+                    time_left: left,
                 }));
                 events.push(Event::Part(Part {
                     id: PartId(id + 1),
@@ -481,7 +489,7 @@
 /// the server's whole traffic onto the other replica.
 #[test]
 fn a_lost_connection_counts_once_however_many_parts_it_carried() {
-    let settings = Settings { second_copies: false, budget: None, ..settings() };
+    let settings = Settings { hedging: false, budget: None, ..settings() };
     let mut bench = Bench::new(settings, vec![up(1)]);
     let serve = |bench: &mut Bench, shards: &[u32], attempt| {
         let (id, actions) = bench.query(0, shards);
@@ -518,7 +526,7 @@
 fn a_part_leaves_a_doubtful_server_that_answers_nothing() {
     for answers in [false, true] {
         let class = Class { late_share: 0.3, ..class() };
-        let settings = Settings { classes: vec![class], second_copies: false, budget: None, ..settings() };
+        let settings = Settings { classes: vec![class], hedging: false, budget: None, ..settings() };
         let mut bench = Bench::new(settings, vec![up(1)]);
         for verdict in [Verdict::Served, Verdict::Served, Verdict::Error, Verdict::Error] {
             let (id, _) = bench.query(0, &[0]);
@@ -532,7 +540,7 @@
         assert_eq!(sends(&actions), [(id + 1, 1)]);
         bench.step(&[Event::ServersChanged(vec![up(2)])]);
         bench.now = bench.now.after(ms(400));
-        let cancel = Action::Cancel { part: PartId(id + 1), attempt: 0, why: Withdrawn::Silent };
+        let cancel = Action::Cancel { part: PartId(id + 1), attempt: 0, why: CancelReason::Unresponsive };
         assert!(!bench.step(&[]).contains(&cancel), "too early");
         if answers {
             bench.step(&[outcome(other + 1, 0, Verdict::Served, ms(405))]);
@@ -551,8 +559,13 @@
 #[test]
 fn an_answer_at_the_aim_leaves_time_for_both_ways() {
     let partial = Class { floor: 0.5, partial_worth: 0.9, late_share: 0.1, ..class() };
-    let settings =
-        Settings { tick: ms(1), on_the_way: ms(10), classes: vec![partial], budget: None, ..settings() };
+    let settings = Settings {
+        tick: ms(1),
+        network_allowance: ms(10),
+        classes: vec![partial],
+        budget: None,
+        ..settings()
+    };
     let mut bench = Bench::new(settings, vec![up(1), up(2)]);
     let (id, _) = bench.query(0, &[0, 1]);
     let begun = bench.now;
@@ -566,13 +579,13 @@
 #[test]
 fn a_part_without_a_place_waits_while_others_of_its_query_are_out() {
     let classes = vec![Class { late_share: 0.3, ..class() }];
-    let settings = Settings { classes, budget: None, second_copies: false, cells: 2, ..settings() };
-    let mut bench = Bench::new(settings, vec![up(1), Listed { cell: 1, ..up(2) }]);
+    let settings = Settings { classes, budget: None, hedging: false, cells: 2, ..settings() };
+    let mut bench = Bench::new(settings, vec![up(1), ServerEntry { cell: 1, ..up(2) }]);
     let (id, actions) = bench.query(0, &[0, 1]);
     let sent = sends(&actions);
     assert_eq!(sent.len(), 2);
     // Of the second part's server another part comes back: its waiting room is full.
-    let actions = bench.end(id + 2, 0, Verdict::TurnedAway, ms(1));
+    let actions = bench.end(id + 2, 0, Verdict::Rejected, ms(1));
     assert_eq!((sends(&actions).len(), ends(&actions)), (0, 0), "it waits: {actions:?}");
     // A query with nothing out or served is refused at once, as ever.
     let (_, actions) = bench.query(0, &[1]);
@@ -588,7 +601,7 @@
 /// it had aged away: a fleet that answered late throughout was sent all that was asked, and answered it late.
 #[test]
 fn a_fleet_that_answers_late_is_sent_little_however_seldom_each_server_is_met() {
-    let settings = Settings { budget: None, second_copies: false, ..settings() };
+    let settings = Settings { budget: None, hedging: false, ..settings() };
     let mut bench = Bench::new(settings, (1..=30).map(up).collect());
     let mut out: std::collections::VecDeque<(u64, u64)> = Default::default();
     let mut sent = [0, 0];
@@ -636,13 +649,12 @@
 fn a_vanished_server_is_found_once_and_not_by_each_of_many_front_nodes() {
     let lost = |tells: bool| {
         let nodes = 40;
-        let settings =
-            Settings { front_nodes: nodes as u32, budget: None, second_copies: false, ..settings() };
+        let settings = Settings { front_nodes: nodes as u32, budget: None, hedging: false, ..settings() };
         let mut routers: Vec<Router> = (0..nodes)
             .map(|seed| Router::new(settings.clone(), seed as u64).expect("settings hold"))
             .collect();
-        let mut words: Vec<Word> =
-            (0..nodes).map(|n| Word::new(n, nodes, 0.01, ms(1000), n as u64).expect("many")).collect();
+        let mut words: Vec<Gossip> =
+            (0..nodes).map(|n| Gossip::new(n, nodes, 0.01, ms(1000), n as u64).expect("many")).collect();
         let start = Time(1_000_000_000);
         for router in &mut routers {
             router.step(start, &[Event::Servers((1..=10).map(up).collect())], &mut Vec::new());
@@ -658,8 +670,8 @@
                 class: 0,
                 tenant: 0,
                 key: Some(mixed(id)),
-                repeated: false,
-                left: ms(3000),
+                is_retry: false,
+                time_left: ms(3000),
             };
             let part = Part { id: PartId(id + 1), query: number, shard: ShardId(0), weight: 1.0, hint: None };
             let mut events = std::mem::take(&mut told[node]);
@@ -672,16 +684,16 @@
                 at_the_lost += usize::from(server <= 3);
                 let end = [outcome(part, 0, verdict, took)];
                 routers[node].step(now.after(ms(49)), &end, &mut Vec::new());
-                let seen = Sighting { server: short(ServerId(server)), class: 0, verdict, took };
-                words[node].saw(now.after(ms(49)), seen);
+                let seen = Observation { server: short_id(ServerId(server)), class: 0, verdict, took };
+                words[node].record(now.after(ms(49)), seen);
             }
-            for (bytes, hearers) in words[node].say(now.after(ms(1000))) {
+            for (bytes, hearers) in words[node].take_due(now.after(ms(1000))) {
                 for (hearer, seen) in
-                    hearers.into_iter().flat_map(|h| read(&bytes).into_iter().map(move |s| (h, s)))
+                    hearers.into_iter().flat_map(|h| decode(&bytes).into_iter().map(move |s| (h, s)))
                 {
-                    let Sighting { server, class, verdict, took } = seen;
+                    let Observation { server, class, verdict, took } = seen;
                     let server = ServerId(u64::from(server));
-                    told[hearer].extend(tells.then_some(Event::Told { server, class, verdict, took }));
+                    told[hearer].extend(tells.then_some(Event::PeerOutcome { server, class, verdict, took }));
                 }
             }
         }
@@ -696,7 +708,7 @@
 #[test]
 fn word_of_unknown_servers_and_classes_is_left_out() {
     let mut bench = Bench::new(settings(), vec![up(1)]);
-    let told = |server, class| Event::Told {
+    let told = |server, class| Event::PeerOutcome {
         server: ServerId(server),
         class,
         verdict: Verdict::Served,
@@ -720,7 +732,7 @@
         let mut bench = Bench::new(settings, vec![up(1), up(2)]);
         let told = |server| {
             let server = ServerId(server);
-            Event::Told { server, class: 0, verdict: Verdict::Served, took: ms(100) }
+            Event::PeerOutcome { server, class: 0, verdict: Verdict::Served, took: ms(100) }
         };
         let (id, actions) = bench.query(0, &[0]);
         let home = sends(&actions)[0].1;
@@ -732,7 +744,7 @@
         bench.step(&[told(if heard_by_others { home } else { 3 - home })]);
         let silent = bench.end(id + 1, 0, Verdict::Cancelled, ms(400));
         // Its other holder drains, so that the next part comes back.
-        let draining = Listed { state: ServerState::Draining, ..up(3 - home) };
+        let draining = ServerEntry { state: ServerState::Draining, ..up(3 - home) };
         let mut later = silent;
         later.extend(bench.step(&[Event::ServersChanged(vec![draining])]));
         bench.now = bench.now.after(ms(1700));
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -25,7 +25,7 @@
     assert!(sends(&actions).is_empty());
     let refused = actions
         .iter()
-        .any(|a| matches!(a, Action::Refuse { query, hold_off, .. } if query.0 == id && !hold_off.is_zero()));
+        .any(|a| matches!(a, Action::Refuse { query, retry_after: hold_off, .. } if query.0 == id && !hold_off.is_zero()));
     assert!(refused, "{actions:?}");
 }
 
@@ -49,7 +49,7 @@
 #[test]
 fn nothing_goes_to_a_draining_server() {
     let mut bench = Bench::new(settings(), vec![up(1), up(2)]);
-    let draining = Listed { state: ServerState::Draining, ..up(1) };
+    let draining = ServerEntry { state: ServerState::Draining, ..up(1) };
     bench.step(&[Event::ServersChanged(vec![draining])]);
     for _ in 0..20 {
         let (_, actions) = bench.query(0, &[0]);
@@ -62,16 +62,16 @@
 /// the other would take much longer for; after it, and where nobody said until when, nothing.
 #[test]
 fn a_draining_server_takes_what_another_is_too_slow_for_and_only_while_it_may() {
-    let settings = Settings { budget: None, second_copies: false, ..settings() };
+    let settings = Settings { budget: None, hedging: false, ..settings() };
     let play = |until: Option<u64>, later: bool| {
         let mut bench = Bench::new(settings.clone(), vec![up(1), up(2)]);
         let until = until.map(|span| bench.now.after(ms(span)));
-        let draining = Listed { state: ServerState::Draining, until, ..up(1) };
+        let draining = ServerEntry { state: ServerState::Draining, send_until: until, ..up(1) };
         bench.step(&[Event::ServersChanged(vec![draining.clone()])]);
         if later {
             // The list says so again: what was told first counts.
             let until = Some(bench.now.after(ms(60_000)));
-            bench.step(&[Event::ServersChanged(vec![Listed { until, ..draining }])]);
+            bench.step(&[Event::ServersChanged(vec![ServerEntry { send_until: until, ..draining }])]);
         }
         let mut sent = Vec::new();
         for _ in 0..20 {
@@ -95,7 +95,7 @@
 #[test]
 fn an_unsafe_part_that_may_have_run_is_neither_resent_nor_refused() {
     let mut settings = settings();
-    settings.classes[0].effect = Effect::Unsafe;
+    settings.classes[0].retry_safety = RetrySafety::Unsafe;
     let mut bench = Bench::new(settings, vec![up(1), up(2)]);
     let (id, _) = bench.query(0, &[0]);
     let actions = bench.end(id + 1, 0, Verdict::Error, ms(5));
@@ -106,10 +106,10 @@
 #[test]
 fn an_unsafe_part_that_never_ran_is_tried_again() {
     let mut settings = settings();
-    settings.classes[0].effect = Effect::Unsafe;
+    settings.classes[0].retry_safety = RetrySafety::Unsafe;
     let mut bench = Bench::new(settings, vec![up(1), up(2)]);
     let (id, first) = bench.query(0, &[0]);
-    let again = bench.end(id + 1, 0, Verdict::TurnedAway, ms(1));
+    let again = bench.end(id + 1, 0, Verdict::Rejected, ms(1));
     assert_eq!(sends(&again).len(), 1);
     assert_ne!(sends(&first)[0].1, sends(&again)[0].1);
 }
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_cold_server_gets_its_share_at_most() {
-    let started = Listed { started: Some(Time(1_000_000_000)), ..up(1) };
+    let started = ServerEntry { started: Some(Time(1_000_000_000)), ..up(1) };
     let mut bench = Bench::new(settings(), vec![started]);
     // Room of 0.2 x 3 cores for a second, shared by two front nodes; parts count 100 ms at the start.
     let sent: usize = (0..50).map(|_| sends(&bench.query(0, &[0]).1).len()).sum();
@@ -198,8 +198,8 @@
             class: 0,
             tenant: 9,
             key: None,
-            repeated: true,
-            left: std::time::Duration::MAX,
+            is_retry: true,
+            time_left: std::time::Duration::MAX,
         };
         let part = Part {
             id: PartId(id + 1),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -40,7 +40,7 @@
     queries: BTreeMap<u64, QuerySeen>,
     parts: BTreeMap<u64, PartSeen>,
     out: Vec<(u64, u32)>,
-    servers: BTreeMap<u64, Listed>,
+    servers: BTreeMap<u64, ServerEntry>,
     follow_ups: Vec<u64>,
     probes: Vec<ServerId>,
     taken: Vec<Time>,
@@ -53,8 +53,8 @@
 
 impl World {
     fn new(settings: Settings, seed: u64) -> Self {
-        let servers: BTreeMap<u64, Listed> =
-            (0..6).map(|id| (id, Listed { cell: id as u32 % settings.cells, ..up(id) })).collect();
+        let servers: BTreeMap<u64, ServerEntry> =
+            (0..6).map(|id| (id, ServerEntry { cell: id as u32 % settings.cells, ..up(id) })).collect();
         let bench = Bench::new(settings.clone(), servers.values().cloned().collect());
         World {
             settings,
@@ -120,8 +120,8 @@
                 class,
                 tenant: self.dice.roll(3) as usize,
                 key: Some(self.dice.roll(5)),
-                repeated: self.dice.roll(2) == 0,
-                left: ms(left),
+                is_retry: self.dice.roll(2) == 0,
+                time_left: ms(left),
             }));
             let count = 1 + self.dice.roll(6);
             self.add_parts(id, count, &mut events);
@@ -131,7 +131,7 @@
             Verdict::Served,
             Verdict::Served,
             Verdict::Error,
-            Verdict::TurnedAway,
+            Verdict::Rejected,
             Verdict::NoConnection,
             Verdict::ConnectionLost,
             Verdict::NoAnswer,
@@ -157,10 +157,10 @@
             // A draining one may be sent to for a while, or not at all.
             let until = (self.dice.roll(2) == 0).then(|| now.after(ms(10 * self.dice.roll(30))));
             let until = until.filter(|_| state == ServerState::Draining);
-            let mut listed = Listed { cell, state, started, until, ..up(id) };
+            let mut listed = ServerEntry { cell, state, started, send_until: until, ..up(id) };
             // What was said first counts, for the same process.
             let first = self.servers.get(&id).filter(|old| old.state == state && old.started == started);
-            listed.until = first.map_or(until, |old| old.until);
+            listed.send_until = first.map_or(until, |old| old.send_until);
             self.servers.insert(id, listed.clone());
             self.cold.retain(|c| c.0 != id);
             events.push(Event::ServersChanged(vec![listed]));
@@ -196,18 +196,20 @@
                 assert!(query.parts.contains(&part.0), "a part of a step that ended");
                 let listed = &self.servers[&server.0];
                 let drains = listed.state == ServerState::Draining;
-                let may = drains && listed.until.is_some_and(|until| now < until);
+                let may = drains && listed.send_until.is_some_and(|until| now < until);
                 assert!(listed.state == ServerState::Up || may, "drains are kept");
-                let effect = self.settings.classes[query.class].effect;
+                let effect = self.settings.classes[query.class].retry_safety;
                 let maybe = seen.attempts.iter().filter(|a| a.1.is_none_or(|v| !v.never_ran()));
                 let first = maybe.map(|a| a.2).min();
                 match (effect, first) {
-                    (Effect::Unsafe, Some(_)) => panic!("an unsafe part that may have run was sent again"),
-                    (Effect::Keyed(window), Some(first)) => assert!(now.since(first) <= window),
+                    (RetrySafety::Unsafe, Some(_)) => {
+                        panic!("an unsafe part that may have run was sent again")
+                    }
+                    (RetrySafety::Keyed(window), Some(first)) => assert!(now.since(first) <= window),
                     _ => {}
                 }
                 let live = seen.attempts.iter().filter(|a| a.1.is_none()).count();
-                assert!(live <= usize::from(self.settings.second_copies), "copies");
+                assert!(live <= usize::from(self.settings.hedging), "copies");
                 assert!((seen.attempts.len() as u32) < self.settings.max_attempts, "attempts");
                 if !seen.attempts.is_empty() {
                     self.further.push(now);
@@ -236,7 +238,7 @@
                     self.end(part.0, attempt, Verdict::Cancelled);
                 }
             }
-            Action::Answer { query, whole, .. } => {
+            Action::Answer { query, complete: whole, .. } => {
                 let seen = self.queries.get_mut(&query.0).expect("one final answer");
                 let class = &self.settings.classes[seen.class];
                 let served = |p: &&u64| self.parts[*p].attempts.iter().any(|a| a.1 == Some(Verdict::Served));
@@ -256,7 +258,7 @@
             }
             Action::Refuse { query, .. } => {
                 let seen = self.queries.remove(&query.0).expect("one final answer");
-                if self.settings.classes[seen.class].effect == Effect::Unsafe {
+                if self.settings.classes[seen.class].retry_safety == RetrySafety::Unsafe {
                     let ran =
                         |p: &u64| self.parts[p].attempts.iter().any(|a| a.1.is_none_or(|v| !v.never_ran()));
                     assert!(!seen.parts.iter().any(ran), "refused though it may have run");
@@ -277,28 +279,23 @@
 }
 
 fn unlike_settings() -> Vec<Settings> {
-    let effects = |effect| Class { effect, ..class() };
+    let effects = |effect| Class { retry_safety: effect, ..class() };
     let partial = Class { floor: 0.5, partial_worth: 0.9, follow_up: 2, ..class() };
     let share = Class { need: 0.6, floor: 0.6, late_share: 0.3, ..class() };
-    let classes = vec![class(), effects(Effect::Keyed(ms(700))), effects(Effect::Unsafe), partial, share];
+    let classes =
+        vec![class(), effects(RetrySafety::Keyed(ms(700))), effects(RetrySafety::Unsafe), partial, share];
     let sets = Settings { classes, ..settings() };
     vec![
         sets.clone(),
         Settings { budget: None, cells: 3, width: 2, batch: 4, call_cost: ms(30), ..sets.clone() },
-        Settings { second_copies: false, cancel: false, list_on_request: true, ..sets.clone() },
-        Settings {
-            second_copies: false,
-            reports_by_probe: true,
-            budget: None,
-            front_nodes: 12,
-            ..sets.clone()
-        },
+        Settings { hedging: false, cancel: false, list_on_request: true, ..sets.clone() },
+        Settings { hedging: false, reports_by_probe: true, budget: None, front_nodes: 12, ..sets.clone() },
         Settings {
             cross_zone_price: 0.04,
             cells: 6,
             width: 3,
-            repeats_marked: false,
-            max_hold_off: Duration::ZERO,
+            retries_marked: false,
+            max_retry_after: Duration::ZERO,
             ..sets
         },
     ]
