--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -1,6 +1,6 @@
-//! The decision module's interface: settings, events, actions, and the ids and times they carry.
+//! Data types of the router's interface: settings, events, actions, and the ids and times they carry.
 //!
-//! Everything here is data. The decisions are in [`crate::decide`].
+//! The router itself is in [`crate::decide`].
 
 use std::fmt;
 use std::time::Duration;
@@ -12,17 +12,17 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// The time from `earlier` to this moment, zero if `earlier` is later.
+    /// Returns the time from `earlier` to this moment, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment `span` after this one.
+    /// Returns the moment `span` after this one, saturating at the maximum.
     pub fn after(self, span: Duration) -> Time {
         Time(self.0.saturating_add(u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)))
     }
 
-    /// The moment `span` before this one, or the origin.
+    /// Returns the moment `span` before this one, saturating at the origin.
     pub fn before(self, span: Duration) -> Time {
         Time(self.0.saturating_sub(u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)))
     }
@@ -37,160 +37,160 @@
 }
 
 id! {
-    /// A query's id, never used again.
+    /// Id of a query; never reused.
     QueryId(u64);
-    /// The number under which a query's parts name it.
+    /// Number by which parts refer to their query.
     QueryNumber(u64);
-    /// A part's id, never used again.
+    /// Id of a part; never reused.
     PartId(u64);
-    /// A server. A restarted process keeps its id; a machine that replaces it has a new one.
+    /// Id of a server. It survives a restart of the process; a replacement machine gets a new one.
     ServerId(u64);
-    /// A shard.
+    /// Id of a shard.
     ShardId(u32);
-    /// A timer, as the module named it.
+    /// Id of a timer, assigned by the router.
     TimerId(u64);
 }
 
-/// What repeating a part of a class may do.
+/// Whether a part of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Repeats do no harm.
+    /// Repeated execution is harmless.
     Safe,
-    /// Servers drop a repeat for this long after the first attempt that may have run.
+    /// Servers deduplicate by idempotency key for this long after the first attempt that may have run.
     Keyed(Duration),
-    /// Every run has an effect of its own.
+    /// Every execution has its own side effect.
     Unsafe,
 }
 
 /// A class of query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// Target response time: an answer within it earns the full worth.
     pub aim: Duration,
-    /// A client's whole patience, over all its tries.
+    /// Total time a client waits, over all its retries.
     pub deadline: Duration,
-    /// Worth of a whole answer within the aim.
+    /// Worth of a complete answer within the aim.
     pub worth: f64,
     /// Fraction of the worth that a later answer earns.
     pub late_share: f64,
-    /// What a repeat may do.
+    /// Whether parts may be retried after an attempt that may have run.
     pub retry_safety: RetrySafety,
-    /// Share of the first step's weight that makes an answer whole.
+    /// Share of the first step's weight at which an answer counts as complete.
     pub need: f64,
-    /// Least share of the weight that any answer may rest on.
+    /// Minimum share of the weight for any answer.
     pub floor: f64,
-    /// An answer that is not whole earns this, times its share over the need.
+    /// Worth of a partial answer, before it is scaled by the answer's share divided by the need.
     pub partial_worth: f64,
-    /// Parts of a second step; 0 where there is none.
+    /// Number of parts in the second step; 0 if the class has only one step.
     pub follow_up: u32,
 }
 
-/// A tenant and its share of the service.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Queries a second over all front nodes that are within its share.
+    /// Queries per second within the tenant's quota, over all front nodes.
     pub quota_per_second: f64,
 }
 
-/// The budget of further attempts.
+/// Budget for further attempts, that is, attempts of a part after its first one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// The window that counts.
+    /// Length of the sliding window over which attempts are counted.
     pub window: Duration,
-    /// Further attempts allowed in any window, however light the traffic.
+    /// Further attempts allowed in any window regardless of traffic.
     pub free: f64,
-    /// Further attempts allowed for each query or part taken in the window.
+    /// Further attempts allowed for each query or part accepted in the window.
     pub share: f64,
 }
 
-/// How a server that has just started must be treated.
+/// Load limits for a server that has just started.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdStart {
-    /// It starts at this fraction of its capacity or above.
+    /// Minimum fraction of its capacity that a server has at start.
     pub from: f64,
-    /// It is warm after this long at the latest.
+    /// Time after which a server is warm at the latest.
     pub warm_after: Duration,
-    /// It falls over when sent this multiple of its present capacity ...
+    /// A cold server is overloaded when sent this multiple of its current capacity ...
     pub fall_multiple: f64,
-    /// ... over a window of this length.
+    /// ... during a window of this length.
     pub window: Duration,
 }
 
-/// What a server reports of its load; absent values were not reported.
+/// Load reported by a server; `None` for values that were not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests held.
+    /// Number of requests in the server, running or waiting.
     pub held: Option<f64>,
-    /// Requests waiting.
+    /// Number of requests waiting.
     pub waiting: Option<f64>,
-    /// Fraction of its CPU in use.
+    /// CPU utilisation, as a fraction.
     pub utilisation: Option<f64>,
-    /// Recent service time without waiting, in seconds.
+    /// Recent service time without queueing, in seconds.
     pub service_seconds: Option<f64>,
 }
 
-/// All that a router is told at its start. The default is empty, and no router takes it as it is.
+/// Configuration of a router. The default value is empty and does not pass [`Settings::validate`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Front nodes that route to the same servers, this one included.
+    /// Number of front nodes (brokers) that route to the same servers, including this one.
     pub front_nodes: u32,
-    /// This front node's zone.
+    /// Zone of this front node.
     pub zone: u32,
-    /// Classes of query, by index.
+    /// Query classes, by index.
     pub classes: Vec<Class>,
     /// Tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a query beyond its tenant's share, as a fraction of its class's.
+    /// Worth of a query beyond its tenant's quota, as a fraction of its class's worth.
     pub over_share_worth: f64,
-    /// Shards in all.
+    /// Total number of shards.
     pub shards: u32,
-    /// Cells of servers. A shard is held by the cells `(shard + j) % cells` for `j` below `width`.
+    /// Number of server cells. A shard is held by the cells `(shard + j) % cells` for `j` below `width`.
     pub cells: u32,
-    /// Consecutive cells that hold a shard.
+    /// Number of consecutive cells that hold a shard.
     pub width: u32,
-    /// Most parts in one call.
+    /// Maximum number of parts in one call.
     pub batch: u32,
-    /// Work a call costs a server beside that of its parts.
+    /// Server work per call, in addition to that of its parts.
     pub call_cost: Duration,
-    /// Shortest time between two steps.
+    /// Minimum time between two steps.
     pub tick: Duration,
-    /// What passes of a client's time before its query is taken and after its answer is given, unseen here. The
-    /// time left that comes with a query is less this already; its class's aim is not.
+    /// Part of a client's time that passes before its query is accepted and after its answer is sent, which the
+    /// router cannot observe. [`Query::time_left`] already excludes it; the aim of a class does not.
     pub network_allowance: Duration,
-    /// Most attempts for one part.
+    /// Maximum number of attempts per part.
     pub max_attempts: u32,
-    /// Whether two attempts of one part may be out at once.
+    /// Whether hedging is allowed: two attempts of one part in flight at once.
     pub hedging: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancel: bool,
-    /// Whether clients mark their repetitions.
+    /// Whether clients mark their retries.
     pub retries_marked: bool,
-    /// Longest hold-off that clients heed; zero where they are told none.
+    /// Longest retry-after time that clients respect; zero if they are not sent one.
     pub max_retry_after: Duration,
-    /// Whether the list of servers comes only when asked for.
+    /// Whether the server list is sent only on request, rather than pushed.
     pub list_on_request: bool,
     /// Whether servers may be probed.
     pub may_probe: bool,
-    /// Whether load reports come with the results of probes alone.
+    /// Whether only probe results carry load reports.
     pub reports_by_probe: bool,
-    /// Whether load reports tell how many requests wait or are held.
+    /// Whether load reports include the number of requests waiting or held.
     pub reports_queue: bool,
-    /// Budget of further attempts, where there is one.
+    /// Budget for further attempts; `None` if unlimited.
     pub budget: Option<Budget>,
-    /// What a part that crosses zones costs, as a fraction of the worth of a part.
+    /// Cost of sending a part to another zone, as a fraction of the worth of a part.
     pub cross_zone_price: f64,
-    /// What a new connection costs, as a fraction of the worth of a part.
+    /// Cost of a new connection, as a fraction of the worth of a part.
     pub handshake_price: f64,
-    /// Figures of servers that have just started.
+    /// Load limits for servers that have just started.
     pub cold: ColdStart,
 }
 
-/// Why a router could not be made.
+/// An invalid field of [`Settings`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field at fault.
+    /// Name of the invalid field.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Constraint that it violates.
     pub problem: &'static str,
 }
 
@@ -203,32 +203,32 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// The shortest aim of any class.
+    /// Returns the shortest aim of any class, or zero if there are no classes.
     pub fn shortest_aim(&self) -> Duration {
         self.classes.iter().map(|class| class.aim).min().unwrap_or_default()
     }
 
-    /// For how long what is spent on cold servers, or on further attempts, counts at the most.
+    /// Returns the longest window over which further attempts or sends to cold servers are counted.
     pub fn longest_budget_window(&self) -> Duration {
         self.budget.map_or(Duration::ZERO, |budget| budget.window).max(self.cold.window)
     }
 
-    /// The cells whose servers hold a shard.
+    /// Returns the cells whose servers hold a shard.
     pub fn cells_of(&self, shard: ShardId) -> impl Iterator<Item = u32> + use<> {
         let (first, cells) = (u64::from(shard.0), u64::from(self.cells.max(1)));
         (0..u64::from(self.width)).map(move |j| ((first + j) % cells) as u32)
     }
 
-    /// Tells whether the settings can be true.
+    /// Checks that every field is in its valid range.
     ///
     /// # Errors
     ///
-    /// Names the first field that cannot be.
+    /// Returns the first invalid field.
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.errors().into_iter().next().map_or(Ok(()), Err)
     }
 
-    /// Every field that cannot be true.
+    /// Returns every invalid field.
     pub fn errors(&self) -> Vec<SettingsError> {
         let finite = |x: f64| x.is_finite() && x >= 0.0;
         let fraction = |x: f64| (0.0..=1.0).contains(&x);
@@ -268,68 +268,68 @@
             ("cold.from", fraction(self.cold.from), "must be in 0..=1"),
             ("cold.fall_multiple", finite(self.cold.fall_multiple), "must be a finite amount"),
         ];
-        let faulty = checks.into_iter().filter(|(_, holds, _)| !holds);
-        faulty.map(|(field, _, fault)| SettingsError { field, problem: fault }).collect()
+        let failed = checks.into_iter().filter(|(_, valid, _)| !valid);
+        failed.map(|(field, _, problem)| SettingsError { field, problem }).collect()
     }
 }
 
-/// A query taken in. Its parts follow in the same step.
+/// An accepted query. Its parts follow in the same step.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
-    /// Its id.
+    /// Id of the query.
     pub id: QueryId,
-    /// The number that its parts bear.
+    /// Number by which its parts refer to it.
     pub number: QueryNumber,
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant.
     pub tenant: usize,
-    /// What it asks about, where the site has keys.
+    /// Routing key, if the deployment uses keys.
     pub key: Option<u64>,
-    /// Whether its client marked it as a repetition.
+    /// Whether its client marked it as a retry.
     pub is_retry: bool,
-    /// Time until its client gives up this try.
+    /// Time until its client gives up on this try.
     pub time_left: Duration,
 }
 
-/// A part of a query, of its first step or its second.
+/// A part of a query, in its first or second step.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Part {
-    /// Its id.
+    /// Id of the part.
     pub id: PartId,
     /// Number of its query.
     pub query: QueryNumber,
-    /// The shard it asks.
+    /// Shard that it reads or writes.
     pub shard: ShardId,
-    /// Its share of the step's weight.
+    /// Share of the step's weight.
     pub weight: f64,
-    /// A rough guess at its work, where there is one.
+    /// Rough estimate of its server work, if given.
     pub hint: Option<Duration>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Served.
+    /// The server answered with a result.
     Served,
     /// The server answered with an error; it may have run.
     Error,
-    /// Turned away unseen: a full queue, or draining.
+    /// The server rejected it without running it, because its queue was full or it was draining.
     Rejected,
-    /// No answer in time; it may have run, or may yet.
+    /// No answer before the timeout; it may have run, or may still run.
     NoAnswer,
-    /// No connection in time; it never ran.
+    /// No connection before the timeout; it never ran.
     NoConnection,
     /// The connection was lost; it may have run.
     ConnectionLost,
     /// Cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
 }
 
 impl Verdict {
-    /// Whether this proves that the attempt never ran.
+    /// Returns whether this proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Verdict::Rejected | Verdict::NoConnection | Verdict::NotSent)
     }
@@ -338,238 +338,238 @@
 /// State of a listed server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// Runs.
+    /// Running.
     #[default]
     Up,
-    /// Completes its work and must be sent nothing new.
+    /// Completing its work; nothing new may be sent to it.
     Draining,
-    /// Gone.
+    /// No longer present.
     Removed,
 }
 
-/// A line of the server list.
+/// An entry of the server list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerEntry {
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u32,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: u32,
-    /// Its state.
+    /// State of the server.
     pub state: ServerState,
-    /// When its process last started, if lately.
+    /// When its process last started, if recently.
     pub started: Option<Time>,
-    /// Until when it may still be sent anything, where it drains and this was told just now.
+    /// End of the grace period during which a server that has just begun to drain may still be sent attempts.
     pub send_until: Option<Time>,
 }
 
-/// What happened since the last step.
+/// An input to the router: something that happened since the last step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A query was taken in.
+    /// A query was accepted.
     Query(Query),
-    /// A part of a query.
+    /// A part of a query was accepted.
     Part(Part),
     /// An attempt ended; every attempt ends exactly once.
     Outcome {
-        /// The part.
+        /// Part of the attempt.
         part: PartId,
-        /// Number of the attempt, in the order of the part's sends from 0.
+        /// Number of the attempt, counted from 0 in the order in which the part's attempts were sent.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         verdict: Verdict,
         /// Time since it was sent.
         took: Duration,
-        /// The server's load, where it came along.
+        /// Load that the server reported with the answer.
         load: LoadReport,
     },
     /// A probe of a server ended; every probe ends exactly once.
     Probed {
-        /// The server.
+        /// Server that was probed.
         server: ServerId,
-        /// How it ended.
+        /// How the probe ended.
         verdict: Verdict,
         /// Time since it was sent.
         took: Duration,
-        /// The server's load, where it came along.
+        /// Load that the server reported with the answer.
         load: LoadReport,
     },
-    /// The client of a query left; the query and its parts are over.
+    /// The client of a query disconnected; the query and its parts have ended.
     ClientGone(QueryId),
-    /// A timer fell due.
+    /// A timer expired.
     Timer(TimerId),
-    /// The whole list of servers; one that is absent is gone.
+    /// The full server list; servers that are not in it are gone.
     Servers(Vec<ServerEntry>),
-    /// The lines of the list that changed.
+    /// The entries of the server list that changed.
     ServersChanged(Vec<ServerEntry>),
-    /// The list could not be had; the last one stays valid.
+    /// The server list could not be fetched; the last one stays valid.
     ServersFailed,
-    /// Another front node tells how an attempt of its own ended.
+    /// Another front node reported how one of its own attempts ended.
     PeerOutcome {
-        /// The server.
+        /// Server of the attempt.
         server: ServerId,
-        /// The class asked.
+        /// Class of the query.
         class: usize,
-        /// How it ended.
+        /// How the attempt ended.
         verdict: Verdict,
         /// Time since it was sent.
         took: Duration,
     },
 }
 
-/// Why a part's home replica was left for another.
+/// Why a part was not sent to its home replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BypassReason {
-    /// Enough own calls are out there.
+    /// This front node has enough calls in flight there.
     Busy,
-    /// Another is predicted to be so much faster.
+    /// Another replica is predicted to be considerably faster.
     Slow,
-    /// Its prediction is over what is left.
+    /// Its predicted time exceeds the time left.
     Late,
-    /// It failed, hung or was lost lately.
+    /// Recent attempts there failed, hung or lost their connection.
     Suspect,
-    /// It drains.
+    /// It is draining.
     Draining,
-    /// It has just started, and has been sent what it may take.
+    /// It has just started and has already been sent as much as it may take.
     Cold,
-    /// The part was there before, or is.
+    /// An attempt of the part was or is there.
     Tried,
-    /// The part was there before and taken back, as nothing was heard.
+    /// An attempt of the part there was cancelled because the server did not respond.
     Unresponsive,
 }
 
-/// Why a part is sent where it is. It tells what was decided and changes nothing.
+/// Why a part is sent to a particular replica. Informational only; no decision depends on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// The replica that the hash gives, among all that are listed.
+    /// Replica chosen by the hash among all that are listed.
     pub home: ServerId,
-    /// Why that was left; none where the part goes there.
+    /// Why the home replica was bypassed; `None` if the part goes there.
     pub bypassed: Option<BypassReason>,
-    /// Upper estimate of the part's time at the replica chosen, in seconds.
+    /// Upper estimate of the part's time at the chosen replica, in seconds.
     pub predicted: f32,
-    /// What it was allowed at that moment, in seconds.
+    /// Time the part was allowed when it was sent, in seconds.
     pub allowed: f32,
 }
 
 /// Why an attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelReason {
-    /// Its query has ended.
+    /// The query has ended.
     QueryEnded,
-    /// Its server has answered nothing since it was sent, and another may.
+    /// The server has answered nothing since the attempt was sent, and another replica may.
     Unresponsive,
 }
 
-/// Why a part is not in.
+/// Why a part has no result when its query ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum MissingReason {
-    /// Nothing was decided on it.
+    /// No decision was made on it.
     #[default]
     Undecided,
-    /// An attempt is out.
+    /// An attempt is in flight.
     InFlight,
-    /// No replica was predicted to serve it in what was left.
+    /// No replica was predicted to serve it in the time left.
     Late,
-    /// No replica is listed, up, and may be sent anything.
+    /// No replica is listed, running and open to new attempts.
     NoReplica,
-    /// Its attempts are spent.
+    /// The maximum number of attempts has been made.
     AttemptsExhausted,
-    /// It may have run, and must not be sent again.
+    /// It may have run and must not be executed twice.
     UnsafeToRetry,
-    /// The budget of further attempts is spent.
+    /// The budget for further attempts is exhausted.
     BudgetExhausted,
-    /// It could have been sent, but too few others could.
+    /// It could have been sent, but too few of the query's other parts could.
     Withheld,
 }
 
-/// What made a query end when it did.
+/// What made a query end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// All that a whole answer needs is in.
+    /// All results needed for a complete answer have arrived.
     Complete,
-    /// Its time is up: the aim's, or its client's.
+    /// The aim or the client's deadline was reached.
     TimeUp,
-    /// What can still come in is less than any answer may rest on.
+    /// The results that can still arrive are below the floor of any answer.
     BelowFloor,
-    /// Nothing is out, and nothing more will be sent.
+    /// No attempt is in flight and none will be sent.
     NothingInFlight,
 }
 
-/// Why a query ends as it does.
+/// Details of how a query ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ending {
-    /// What made it end.
+    /// What made the query end.
     pub cause: Cause,
-    /// The parts that are not in, and why.
+    /// Parts without a result, and why.
     pub missing: Vec<(PartId, MissingReason)>,
 }
 
-/// What the caller is to do, in order.
+/// An instruction to the caller. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of a part. Those of one step to one server share calls.
+    /// Send an attempt of a part. Attempts of one step to one server share calls.
     Send {
-        /// The part.
+        /// Part to send.
         part: PartId,
-        /// To whom.
+        /// Destination.
         server: ServerId,
-        /// When the attempt is given up.
+        /// Time after which the attempt is abandoned.
         timeout: Duration,
-        /// Why there.
+        /// Why this server was chosen.
         why: Choice,
     },
-    /// Close the idle connections to a server; what is out on others goes on.
+    /// Close the idle connections to a server; attempts in flight on others continue.
     CloseIdle {
-        /// The server.
+        /// Server whose connections to close.
         server: ServerId,
     },
-    /// Probe a server and bring back [`Event::Probed`].
+    /// Probe a server and report [`Event::Probed`].
     Probe {
-        /// The server.
+        /// Server to probe.
         server: ServerId,
     },
     /// Stop waiting for an attempt.
     Cancel {
-        /// The part.
+        /// Part of the attempt.
         part: PartId,
         /// Number of the attempt.
         attempt: u32,
-        /// Why.
+        /// Why it is cancelled.
         why: CancelReason,
     },
-    /// Answer a query from the parts that are in. A second step may follow.
+    /// Answer a query from the results that have arrived. A second step may follow.
     Answer {
-        /// The query.
+        /// Query to answer.
         query: QueryId,
-        /// Whether the answer is marked whole.
+        /// Whether the answer is marked as complete.
         complete: bool,
-        /// Why now.
+        /// Why it ends now.
         why: Ending,
     },
-    /// Refuse a query: its client may safely come back.
+    /// Refuse a query: its client may safely retry.
     Refuse {
-        /// The query.
+        /// Query to refuse.
         query: QueryId,
-        /// How long the client should stay away.
+        /// Time the client should wait before it retries.
         retry_after: Duration,
-        /// Why.
+        /// Why it is refused.
         why: Ending,
     },
-    /// Fail a query, promising nothing.
+    /// Fail a query. Some of it may have run, so the client must not assume that a retry is safe.
     Fail {
-        /// The query.
+        /// Query to fail.
         query: QueryId,
-        /// Why.
+        /// Why it fails.
         why: Ending,
     },
-    /// Bring back [`Event::Timer`] in the first step at or after this time.
+    /// Report [`Event::Timer`] in the first step at or after this time.
     SetTimer {
-        /// The timer.
+        /// Id of the timer.
         timer: TimerId,
-        /// When it falls due.
+        /// When it expires.
         at: Time,
     },
-    /// Subscribe to the list of servers.
+    /// Subscribe to the server list.
     WatchServers,
 }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings: one JSON object, the same from the simulator's wire and in a broker's configuration.
+//! Reads the settings: one JSON object, in the same format in the simulator's messages and in a broker's
+//! configuration.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,12 +9,12 @@
 
 use crate::interface::{Budget, Class, ColdStart, LoadReport, RetrySafety, Settings, Tenant};
 
-/// What is wrong with the settings, and where.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SiteSettingsError {
-    /// The key at fault, as a path.
+    /// Path of the invalid key.
     pub key: String,
-    /// What is wrong with it.
+    /// Description of what is wrong with it.
     pub problem: String,
 }
 
@@ -25,38 +26,38 @@
 
 impl std::error::Error for SiteSettingsError {}
 
-fn fault(key: &str, fault: String) -> SiteSettingsError {
-    SiteSettingsError { key: key.to_owned(), problem: fault }
+fn invalid(key: &str, problem: String) -> SiteSettingsError {
+    SiteSettingsError { key: key.to_owned(), problem }
 }
 
-/// The settings: what the module takes, and what the broker round it needs.
+/// Settings of a deployment: those of the router and those of the broker around it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteSettings {
-    /// The module's part.
+    /// Settings of the router.
     pub router: Settings,
     /// Names of the classes, by index.
     pub classes: Vec<String>,
     /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// Names of the tenants, by index; empty where queries belong to none.
+    /// Names of the tenants, by index; empty if the deployment has none.
     pub tenants: Vec<String>,
-    /// Queries and parts that may be open; beyond that queries are not taken.
+    /// Maximum number of open queries and parts; beyond it, new queries are not accepted.
     pub max_open: usize,
-    /// Servers close connections that stand idle so long.
+    /// Idle time after which servers close a connection.
     pub connection_idle: Duration,
-    /// Connections that are not made in this time are given up.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// Parts that one connection carries at once.
+    /// Maximum number of parts that one connection carries at once.
     pub max_streams: usize,
-    /// What a probe costs, as a fraction of the worth of a part.
+    /// Cost of a probe, as a fraction of the worth of a part.
     pub probe_price: f64,
-    /// After it was told that a server drains or is gone a broker may send to it for so long.
+    /// How long a broker may still send to a server after discovery reported it as draining or gone.
     pub drain_grace: Duration,
-    /// This broker's number, and what a full message to another may cost; none where they may say nothing.
+    /// Outcome messages between brokers; `None` if they are not allowed.
     pub peers: Option<PeerSettings>,
 }
 
-/// Outcome messages between brokers, where they are allowed.
+/// Settings of the outcome messages between brokers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerSettings {
     /// This broker's index among all brokers.
@@ -65,45 +66,46 @@
     pub price: f64,
 }
 
-/// What a request and its answer spend on the way and in a broker's buffers, which it can't see.
-const ON_THE_WAY: Duration = Duration::from_millis(5);
+/// Time that a request and its answer spend in the network and in a broker's buffers, which the broker cannot
+/// measure.
+const NETWORK_ALLOWANCE: Duration = Duration::from_millis(5);
 
 impl SiteSettings {
     /// Reads and checks the settings.
     ///
     /// # Errors
     ///
-    /// Names the first key at fault.
+    /// Returns the first invalid key.
     pub fn read(json: &Value) -> Result<Self, SiteSettingsError> {
-        let facts: Facts = serde_path_to_error::deserialize(json)
-            .map_err(|error| fault(&error.path().to_string(), error.inner().to_string()))?;
-        let positive = |key: &str, holds: bool| match holds {
+        let raw: RawSettings = serde_path_to_error::deserialize(json)
+            .map_err(|error| invalid(&error.path().to_string(), error.inner().to_string()))?;
+        let positive = |key: &str, is_positive: bool| match is_positive {
             true => Ok(()),
-            false => Err(fault(key, "must be above zero".to_owned())),
+            false => Err(invalid(key, "must be above zero".to_owned())),
         };
-        positive("limits.maxStreams", facts.limits.max_streams > 0)?;
-        positive("limits.maxOpen", facts.limits.max_open > 0)?;
-        positive("limits.connIdleNs", facts.limits.conn_idle_ns > 0)?;
-        positive("limits.connectTimeoutNs", facts.limits.connect_timeout_ns > 0)?;
-        positive("safety.drainGraceNs", facts.safety.drain_grace_ns > 0)?;
+        positive("limits.maxStreams", raw.limits.max_streams > 0)?;
+        positive("limits.maxOpen", raw.limits.max_open > 0)?;
+        positive("limits.connIdleNs", raw.limits.conn_idle_ns > 0)?;
+        positive("limits.connectTimeoutNs", raw.limits.connect_timeout_ns > 0)?;
+        positive("safety.drainGraceNs", raw.safety.drain_grace_ns > 0)?;
         Ok(SiteSettings {
-            router: facts.module()?,
-            classes: facts.profiles.into_iter().map(|profile| profile.name).collect(),
-            zones: facts.zones,
-            tenants: facts.tenants.into_iter().map(|tenant| tenant.name).collect(),
-            max_open: facts.limits.max_open,
-            connection_idle: Duration::from_nanos(facts.limits.conn_idle_ns),
-            connect_timeout: Duration::from_nanos(facts.limits.connect_timeout_ns),
-            max_streams: facts.limits.max_streams,
-            probe_price: facts.prices.probe.max(0.0),
-            drain_grace: Duration::from_nanos(facts.safety.drain_grace_ns),
-            peers: facts.limits.peers.then_some(PeerSettings { index: facts.me, price: facts.prices.peer }),
+            router: raw.router()?,
+            classes: raw.profiles.into_iter().map(|profile| profile.name).collect(),
+            zones: raw.zones,
+            tenants: raw.tenants.into_iter().map(|tenant| tenant.name).collect(),
+            max_open: raw.limits.max_open,
+            connection_idle: Duration::from_nanos(raw.limits.conn_idle_ns),
+            connect_timeout: Duration::from_nanos(raw.limits.connect_timeout_ns),
+            max_streams: raw.limits.max_streams,
+            probe_price: raw.prices.probe.max(0.0),
+            drain_grace: Duration::from_nanos(raw.safety.drain_grace_ns),
+            peers: raw.limits.peers.then_some(PeerSettings { index: raw.me, price: raw.prices.peer }),
         })
     }
 }
 
-/// A load report from its values, asked for by the names in the settings' `stats.columns`, or by those of the
-/// protocol's page.
+/// Builds a load report from named values. Each value is looked up by its name in the settings' `stats.columns`
+/// first, then by its name in the protocol specification.
 pub fn load_report(value: impl Fn(&str) -> Option<f64>) -> LoadReport {
     let either = |name, other| value(name).or_else(|| value(other));
     LoadReport {
@@ -114,25 +116,25 @@
     }
 }
 
-fn idle_ns() -> u64 {
+fn default_conn_idle_ns() -> u64 {
     15_000_000_000
 }
 
-fn connect_ns() -> u64 {
+fn default_connect_timeout_ns() -> u64 {
     250_000_000
 }
 
-fn drain_ns() -> u64 {
+fn default_drain_grace_ns() -> u64 {
     250_000_000
 }
 
-fn unbounded() -> usize {
+fn unlimited() -> usize {
     usize::MAX
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Facts {
+struct RawSettings {
     balancers: u32,
     #[serde(default)]
     me: usize,
@@ -146,7 +148,7 @@
     #[serde(default)]
     zones: Vec<String>,
     #[serde(default)]
-    tenants: Vec<TenantFacts>,
+    tenants: Vec<RawTenant>,
     #[serde(default)]
     over_share_worth: Option<f64>,
     extra: Extra,
@@ -190,7 +192,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct TenantFacts {
+struct RawTenant {
     #[serde(default)]
     name: String,
     quota_per_s: f64,
@@ -214,13 +216,13 @@
 #[serde(rename_all = "camelCase")]
 struct Limits {
     cancel: bool,
-    #[serde(default = "idle_ns")]
+    #[serde(default = "default_conn_idle_ns")]
     conn_idle_ns: u64,
-    #[serde(default = "connect_ns")]
+    #[serde(default = "default_connect_timeout_ns")]
     connect_timeout_ns: u64,
-    #[serde(default = "unbounded")]
+    #[serde(default = "unlimited")]
     max_open: usize,
-    #[serde(default = "unbounded")]
+    #[serde(default = "unlimited")]
     max_streams: usize,
     #[serde(default)]
     may_probe: bool,
@@ -239,7 +241,7 @@
 struct Safety {
     cold_from: f64,
     cold_ns: u64,
-    #[serde(default = "drain_ns")]
+    #[serde(default = "default_drain_grace_ns")]
     drain_grace_ns: u64,
     fall_multiple: f64,
     overload_for_ns: u64,
@@ -248,9 +250,8 @@
     repeat_ratio: Option<f64>,
 }
 
-impl Facts {
-    fn module(&self) -> Result<Settings, SiteSettingsError> {
-        let span = Duration::from_nanos;
+impl RawSettings {
+    fn router(&self) -> Result<Settings, SiteSettingsError> {
         let safety = &self.safety;
         Ok(Settings {
             front_nodes: self.balancers,
@@ -262,9 +263,9 @@
             cells: self.extra.sets,
             width: self.extra.width,
             batch: self.extra.batch,
-            call_cost: span(self.extra.call_ns),
-            tick: span(self.granularity_ns),
-            network_allowance: ON_THE_WAY,
+            call_cost: Duration::from_nanos(self.extra.call_ns),
+            tick: Duration::from_nanos(self.granularity_ns),
+            network_allowance: NETWORK_ALLOWANCE,
             max_attempts: self.limits.max_attempts,
             hedging: self.limits.second_copies,
             cancel: self.limits.cancel,
@@ -273,34 +274,34 @@
             reports_queue: self.stats.columns.iter().any(|c| c == "pending" || c == "busy_reqs"),
             retries_marked: self.clients.marks_retry,
             max_retry_after: match self.limits.retry_after {
-                true => span(self.limits.max_retry_after_ns),
+                true => Duration::from_nanos(self.limits.max_retry_after_ns),
                 false => Duration::ZERO,
             },
             list_on_request: match self.registry_mode.as_str() {
                 "pushed" => false,
                 "on_request" => true,
-                other => return Err(fault("registryMode", format!("unknown word {other:?}"))),
+                other => return Err(invalid("registryMode", format!("unknown value {other:?}"))),
             },
             cross_zone_price: self.prices.cross_zone,
             handshake_price: self.prices.handshake,
             budget: safety.budget_span_ns.map(|window| Budget {
-                window: span(window),
+                window: Duration::from_nanos(window),
                 free: safety.extra_free.unwrap_or(0.0),
                 share: safety.repeat_ratio.unwrap_or(0.0),
             }),
             cold: ColdStart {
                 from: safety.cold_from,
-                warm_after: span(safety.cold_ns),
+                warm_after: Duration::from_nanos(safety.cold_ns),
                 fall_multiple: safety.fall_multiple,
-                window: span(safety.overload_for_ns),
+                window: Duration::from_nanos(safety.overload_for_ns),
             },
         })
     }
 
     fn class(&self, index: usize) -> Result<Class, SiteSettingsError> {
         let profile = &self.profiles[index];
-        let figure = |figures: &[f64], key: &str| {
-            figures.get(index).copied().ok_or_else(|| fault(key, format!("has no figure for class {index}")))
+        let value = |values: &[f64], key: &str| {
+            values.get(index).copied().ok_or_else(|| invalid(key, format!("has no value for class {index}")))
         };
         Ok(Class {
             aim: Duration::from_nanos(profile.aim_ns),
@@ -312,20 +313,20 @@
                 "keyed" => RetrySafety::Keyed(Duration::from_nanos(profile.window_ns)),
                 "unsafe" => RetrySafety::Unsafe,
                 other => {
-                    return Err(fault(
+                    return Err(invalid(
                         &format!("profiles[{index}].effect"),
-                        format!("unknown word {other:?}"),
+                        format!("unknown value {other:?}"),
                     ));
                 }
             },
-            need: figure(&self.extra.need_by_class, "extra.needByClass")?,
-            floor: figure(&self.extra.least_share, "extra.leastShare")?,
-            partial_worth: figure(&self.extra.incomplete_worth, "extra.incompleteWorth")?,
+            need: value(&self.extra.need_by_class, "extra.needByClass")?,
+            floor: value(&self.extra.least_share, "extra.leastShare")?,
+            partial_worth: value(&self.extra.incomplete_worth, "extra.incompleteWorth")?,
             follow_up: *self
                 .extra
                 .follow_up
                 .get(index)
-                .ok_or_else(|| fault("extra.followUp", format!("has no figure for class {index}")))?,
+                .ok_or_else(|| invalid("extra.followUp", format!("has no value for class {index}")))?,
         })
     }
 }
