--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -1,7 +1,7 @@
-//! The broker's core: what is open, whatever wire it came on.
+//! The broker's core: tracks open queries and attempts, independent of the protocol they arrived by.
 //!
-//! It hands events to the decision module, one step at a time, and turns the module's actions into
-//! [`Command`]s in terms of the outside: names, texts and values. It does no I/O and reads no clock.
+//! It passes events to the [`Router`], one step at a time, and translates the router's actions into
+//! [`Command`]s that carry external names, bodies and values. It does no I/O and reads no clock.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,179 +14,179 @@
 use crate::interface::*;
 use crate::settings::{PeerSettings, SiteSettings};
 
-/// Whom a query's final answer goes to: a number of the front's own.
+/// Identifies the recipient of a query's final answer; assigned by the front end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ReplyId(pub u64);
 
-/// A part of a query as a front takes it.
+/// A part of a query as received by a front end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NewPart {
-    /// The shard it asks.
+    /// Shard that it reads or writes.
     pub shard: u32,
-    /// Its share of the weight.
+    /// Share of the query's weight.
     pub weight: f64,
-    /// A rough guess at its work, where the client gives one.
+    /// Rough estimate of its server work, if the client gives one.
     pub hint: Option<Duration>,
 }
 
-/// A query as a front takes it.
+/// A query as received by a front end.
 #[derive(Clone, Debug)]
 pub struct NewQuery {
-    /// Its external name, which no other open query bears.
+    /// External name, unique among open queries.
     pub name: String,
     /// Index of its class.
     pub class: usize,
-    /// Index of its tenant; 0 where there are none.
+    /// Index of its tenant; 0 if there are no tenants.
     pub tenant: usize,
-    /// What it asks about.
+    /// Routing key, if the deployment uses keys.
     pub key: Option<u64>,
-    /// Whether its client marked it as a repetition.
+    /// Whether its client marked it as a retry.
     pub is_retry: bool,
     /// Time until its client gives up.
     pub time_left: Duration,
-    /// Its idempotency key, in a keyed class.
+    /// Idempotency key, in a keyed class.
     pub idempotency_key: Option<String>,
-    /// What each part carries.
+    /// Request body sent with each part.
     pub body: String,
-    /// Its parts, each of another shard.
+    /// The parts, each for a different shard.
     pub parts: Vec<NewPart>,
 }
 
-/// Why a query is not taken.
+/// Why a query was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotAccepted {
-    /// As many queries and parts are open as may be.
+    /// The maximum number of queries and parts is open.
     AtCapacity {
-        /// How long the client should stay away; zero where clients are told no such time.
+        /// Time the client should wait before it retries; zero if clients are not sent one.
         retry_after: Duration,
     },
-    /// A query of this name is open.
+    /// A query with this name is already open.
     NameInUse,
 }
 
-/// The one final answer of a query.
+/// The final answer of a query; every accepted query gets exactly one unless its client disconnects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// Answered, from the parts that are in.
+    /// Answered from the results that arrived.
     Answered {
-        /// Whether the answer is marked whole.
+        /// Whether the answer is marked as complete.
         complete: bool,
-        /// Shard and value of each part that is in, in the order asked; none for one that is not.
+        /// Shard and value of each part, in the order of the query; `None` for a part without a result.
         values: Vec<(u32, Option<String>)>,
     },
-    /// Refused: trying again is harmless.
+    /// Refused: a retry is harmless.
     Refused {
-        /// For how long the client is asked to stay away.
+        /// Time the client should wait before it retries.
         retry_after: Duration,
     },
-    /// Failed, with no promise.
+    /// Failed: the query may have run, so a retry may not be safe.
     Failed,
 }
 
-/// An attempt, as the module numbers it.
+/// Id of an attempt: its part, and its number counted from 0 in the order of the part's attempts.
 pub type AttemptId = (PartId, u32);
 
 /// An attempt to send.
 #[derive(Clone, Debug)]
 pub struct SendAttempt {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// To whom.
+    /// Destination.
     pub server: ServerId,
-    /// The query's name.
+    /// Name of the query.
     pub query: Arc<str>,
-    /// The shard asked.
+    /// Shard of the part.
     pub shard: u32,
-    /// The query's idempotency key.
+    /// Idempotency key of the query.
     pub idempotency_key: Option<Arc<str>>,
-    /// What the part carries.
+    /// Request body.
     pub body: Arc<str>,
-    /// Its class's aim.
+    /// Aim of the query's class.
     pub aim: Duration,
-    /// When the broker stops waiting.
+    /// When the broker stops waiting for the answer.
     pub deadline: Time,
-    /// After this it may not begin any more: the window in which a repeat is dropped is over.
+    /// The attempt must not start after this time, when servers no longer deduplicate an earlier attempt.
     pub start_before: Option<Time>,
 }
 
-/// What the loop is to do, in order.
+/// An instruction to the broker's event loop. Commands are carried out in order.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Send an attempt; those of one step to one server share frames.
+    /// Send an attempt; attempts of one step to one server share frames.
     Send(SendAttempt),
-    /// Give an attempt up and bring back its outcome.
+    /// Cancel an attempt and report its outcome.
     Cancel(AttemptId),
-    /// Take an attempt back if nothing of it has been written: its query is over.
+    /// Withdraw an attempt of a query that has ended, if none of it has been written.
     Withdraw(AttemptId),
     /// Close the idle connections to a server.
     CloseIdle(ServerId),
     /// Probe a server.
     Probe(ServerId),
-    /// Give a query its final answer.
+    /// Send a query's final answer.
     Finish(ReplyId, FinalAnswer),
-    /// Bring back a timer of the module's.
+    /// Call [`Core::timer`] at this time.
     SetTimer(Time, TimerId),
-    /// Bring back the deadline of a query.
+    /// Call [`Core::check_deadline`] at this time.
     SetDeadline(Time, QueryId),
-    /// Ask discovery anew.
+    /// Request the server list from discovery again.
     WatchServers,
 }
 
-/// A server as discovery or an inventory lists it.
+/// A server as listed by discovery or an inventory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name, the same at every broker.
+    /// Name of the server, the same at every broker.
     pub name: String,
-    /// Its zone's name.
+    /// Name of its zone.
     pub zone: String,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: u32,
-    /// Its state.
+    /// State of the server.
     pub state: ServerState,
-    /// When its process last started, if lately.
+    /// When its process last started, if recently.
     pub started: Option<Time>,
 }
 
-/// The names of a query that was taken.
+/// The external names of an accepted query.
 #[derive(Clone, Debug)]
 pub struct QueryNames {
-    /// The query.
+    /// Id of the query.
     pub query: QueryId,
-    /// Its external name.
+    /// External name.
     pub name: Arc<str>,
-    /// Its idempotency key, in a keyed class.
+    /// Idempotency key, in a keyed class.
     pub idempotency_key: Option<Arc<str>>,
 }
 
-/// All that a step was about, for whoever records it.
+/// Everything that went into and came out of a step, for trace recording.
 #[derive(Clone, Debug, Default)]
 pub struct StepRecord {
-    /// The step's number, from 1.
+    /// Number of the step, from 1.
     pub sequence: u64,
-    /// When it was.
+    /// Time of the step.
     pub now: Time,
-    /// What the module was told.
+    /// Events passed to the router.
     pub events: Vec<Event>,
-    /// What it asked for.
+    /// Actions returned by the router.
     pub actions: Vec<Action>,
-    /// The names of the queries among the events.
+    /// Names of the queries among the events.
     pub query_names: Vec<QueryNames>,
-    /// Servers named since the last step.
+    /// Servers that were assigned an id since the last step.
     pub new_servers: Vec<(ServerId, String)>,
-    /// Versions of the lists among the events.
+    /// Versions of the server lists among the events.
     pub list_versions: Vec<u64>,
-    /// Queries that were not taken since the last step, by class.
+    /// Class and reason of each query that was not accepted since the last step.
     pub not_accepted: Vec<(usize, NotAccepted)>,
-    /// What the broker has to say of itself.
+    /// Notes of the broker on its own state, such as its start and stop.
     pub note: String,
 }
 
-struct Open {
+struct OpenQuery {
     name: Arc<str>,
-    ticket: ReplyId,
+    reply_id: ReplyId,
     class: usize,
-    idempotency: Option<Arc<str>>,
-    text: Arc<str>,
+    idempotency_key: Option<Arc<str>>,
+    body: Arc<str>,
     ends_at: Time,
     parts: Vec<OpenPart>,
 }
@@ -202,7 +202,7 @@
 struct PartEntry {
     query: QueryId,
     index: usize,
-    /// Attempts so far.
+    /// Number of attempts so far.
     attempts: u32,
 }
 
@@ -210,47 +210,47 @@
     sent: Time,
     server: ServerId,
     class: usize,
-    /// Withdrawn as its server said nothing.
-    silent: bool,
+    /// Cancelled because its server did not respond.
+    unresponsive: bool,
 }
 
-/// The core's state. See the module's page.
+/// The broker's core; see the [module documentation](self).
 pub struct Core {
     settings: Arc<SiteSettings>,
     router: Router,
-    queries: HashMap<QueryId, Open>,
+    queries: HashMap<QueryId, OpenQuery>,
     names: HashMap<Arc<str>, QueryId>,
     parts: HashMap<PartId, PartEntry>,
     attempts: HashMap<AttemptId, Attempt>,
-    servers: HashMap<ServerId, String>,
-    ids: HashMap<String, ServerId>,
+    server_names: HashMap<ServerId, String>,
+    server_ids: HashMap<String, ServerId>,
     listed: HashMap<ServerId, ServerState>,
-    /// Listed servers by the half of the id that brokers use among each other.
-    shorts: HashMap<u32, ServerId>,
+    /// Listed servers by the half of the id that is used in messages between brokers.
+    short_ids: HashMap<u32, ServerId>,
     events: Vec<Event>,
     actions: Vec<Action>,
     last_id: u64,
-    /// Attempts of queries that are over: they are taken back where nothing of them was written.
-    over: Vec<AttemptId>,
-    /// What has gathered for whoever records, where anybody does.
-    observed: Option<Box<StepRecord>>,
+    /// Attempts of queries that have ended, to be withdrawn if none of them has been written.
+    ended_attempts: Vec<AttemptId>,
+    /// Record of the next step, if recording is enabled.
+    step_record: Option<Box<StepRecord>>,
     sequence: u64,
-    /// What this broker has to say to others, where it may.
-    word: Option<Gossip>,
+    /// Outcomes to send to other brokers, if enabled.
+    gossip: Option<Gossip>,
 }
 
 impl Core {
-    /// A core with nothing open.
+    /// Creates a core without open queries.
     ///
     /// # Errors
     ///
-    /// When the module does not take its settings.
+    /// When the router's settings are invalid.
     pub fn new(settings: Arc<SiteSettings>, seed: u64) -> Result<Self, SettingsError> {
         let router = Router::new(settings.router.clone(), seed)?;
         let aim = settings.router.shortest_aim();
         let brokers = settings.router.front_nodes as usize;
-        let word = |peers: PeerSettings| Gossip::new(peers.index, brokers, peers.price, aim, seed);
-        let word = settings.peers.and_then(word);
+        let gossip = |peers: PeerSettings| Gossip::new(peers.index, brokers, peers.price, aim, seed);
+        let gossip = settings.peers.and_then(gossip);
         Ok(Core {
             settings,
             router,
@@ -258,46 +258,49 @@
             names: HashMap::new(),
             parts: HashMap::new(),
             attempts: HashMap::new(),
-            servers: HashMap::new(),
-            ids: HashMap::new(),
+            server_names: HashMap::new(),
+            server_ids: HashMap::new(),
             listed: HashMap::new(),
-            shorts: HashMap::new(),
+            short_ids: HashMap::new(),
             events: Vec::new(),
             actions: Vec::new(),
             last_id: 0,
-            over: Vec::new(),
-            observed: None,
+            ended_attempts: Vec::new(),
+            step_record: None,
             sequence: 0,
-            word,
+            gossip,
         })
     }
 
-    /// What another process must know to take over from this one at `now`: what the module has learned.
+    /// Returns what another process needs to take over from this one at `now`: the state learned by the
+    /// router.
     ///
-    /// Ids of servers are hashes of their names, so they mean the same there. Nothing is handed over of queries,
-    /// not of keyed or unsafe ones either:
+    /// Server ids are hashes of server names, so they are the same in the other process. No queries are
+    /// handed over, including keyed and unsafe ones:
     ///
-    /// - A query that is open here is answered here, exactly once, and its parts go out again only from here:
-    ///   `may_have_run` and [`SendAttempt::start_before`] are kept for each part of an open query and end with it, in `close`.
-    /// - A client's own retry is a new query, whichever process takes it: no process keeps an idempotency key
-    ///   beyond the query that brought it. The key goes out with each part, and the servers drop what they have
-    ///   run under it within the class's window. That holds whichever process sent the first attempt.
-    /// - A class that is [`RetrySafety::Unsafe`] has no key. A query of it that may have run ends as [`FinalAnswer::Failed`],
-    ///   which invites no retry, and one that is [`FinalAnswer::Refused`] never ran.
+    /// - A query that is open in this process is answered by it, exactly once, and its parts are retried only
+    ///   from here: `may_have_run` and [`SendAttempt::start_before`] are kept for each part of an open query
+    ///   until `close` removes the query.
+    /// - A client's retry is a new query, whichever process accepts it: no process keeps an idempotency key
+    ///   beyond the query that carried it. The key is sent with each part, and servers drop a part that they
+    ///   have already run under it within the class's window, whichever process sent the first attempt.
+    /// - A class that is [`RetrySafety::Unsafe`] has no key. A query of it that may have run ends as
+    ///   [`FinalAnswer::Failed`], which does not invite a retry, and one that is [`FinalAnswer::Refused`]
+    ///   never ran.
     ///
-    /// Word for other brokers that is not said yet is dropped, and ids of queries and parts start anew: they are
-    /// names within one process.
+    /// Pending outcome messages to other brokers are dropped, and ids of queries and parts start anew, as
+    /// they are local to one process.
     pub fn snapshot(&self, now: Time) -> Snapshot {
         self.router.snapshot(now)
     }
 
-    /// Takes over what another process has learned, before or after the first list of servers; see
+    /// Restores the state learned by another process, before or after the first server list; see
     /// [`Router::restore`].
     ///
     /// # Errors
     ///
-    /// When the snapshot does not fit the settings, is not sound, or a query was taken already. The core is
-    /// unchanged then.
+    /// When the snapshot does not match the settings, is invalid, or a query has already been accepted. The
+    /// core is then unchanged.
     pub fn restore(&mut self, now: Time, snapshot: &Snapshot) -> Result<(), SnapshotError> {
         if self.last_id > 0 {
             return Err(SnapshotError::InUse);
@@ -305,76 +308,80 @@
         self.router.restore(now, snapshot)
     }
 
-    /// Another process of this broker spends in place of this one from now on; see [`Router::hold_budgets_back`].
+    /// Stops spending budgets, as another process of this broker spends them from now on; see
+    /// [`Router::hold_budgets_back`].
     pub fn hold_budgets_back(&mut self) {
         self.router.hold_budgets_back();
     }
 
-    /// What this process has spent from `since` on; see [`Router::spending`].
+    /// Returns what this process has spent of its budgets from `since` on; see [`Router::spending`].
     pub fn spending(&self, now: Time, since: Time) -> Spending {
         self.router.spending(now, since)
     }
 
-    /// Spends from now on, beyond what another process of this broker has spent; see [`Router::take_budgets_over`].
+    /// Starts spending budgets, counting what another process of this broker has spent; see
+    /// [`Router::take_budgets_over`].
     ///
     /// # Errors
     ///
-    /// When what was spent holds numbers that can't be true. The core is unchanged then.
+    /// When `spending` contains impossible numbers. The core is then unchanged.
     pub fn take_budgets_over(&mut self, now: Time, spending: &Spending) -> Result<(), SnapshotError> {
         self.router.take_budgets_over(now, spending)
     }
 
-    /// The other process has ended without telling what it has spent; see [`Router::recover_budgets`].
+    /// Recovers the budgets after the other process ended without reporting its spending; see
+    /// [`Router::recover_budgets`].
     pub fn recover_budgets(&mut self, now: Time) {
         self.router.recover_budgets(now);
     }
 
-    /// The listed servers that the module avoids at present; see [`Router::avoided`].
+    /// Returns the listed servers that the router currently avoids; see [`Router::avoided`].
     pub fn avoided(&self) -> Vec<ServerId> {
         self.router.avoided()
     }
 
-    /// Keeps what each step was about from now on, for [`Core::take_step_record`].
+    /// Records each step from now on, for [`Core::take_step_record`].
     pub fn enable_recording(&mut self) {
-        self.observed = Some(Box::default());
+        self.step_record = Some(Box::default());
     }
 
-    /// What the last step was about. To be asked for after each step, or it adds up.
+    /// Returns the record of the last step. Must be called after each step, or records accumulate.
     pub fn take_step_record(&mut self) -> Option<StepRecord> {
-        let observed = self.observed.as_mut()?;
-        (observed.sequence > 0).then(|| std::mem::take(&mut **observed))
+        let record = self.step_record.as_mut()?;
+        (record.sequence > 0).then(|| std::mem::take(&mut **record))
     }
 
-    /// What the broker has to say of itself goes with the next step.
+    /// Adds a note to the record of the next step.
     pub fn add_note(&mut self, note: &str) {
-        if let Some(observed) = &mut self.observed {
-            if !observed.note.is_empty() {
-                observed.note.push_str("; ");
+        if let Some(record) = &mut self.step_record {
+            if !record.note.is_empty() {
+                record.note.push_str("; ");
             }
-            observed.note.push_str(note);
+            record.note.push_str(note);
         }
     }
 
-    /// How long a client stays away that is refused before anything was decided: as long as the module says.
-    fn hold_off(&self, class: usize) -> Duration {
-        let module = &self.settings.router;
-        module.classes[class].aim.mul_f64(HOLD_OFF_SHARE).min(module.max_retry_after)
+    /// Returns the retry-after time for a query that is refused before it reaches the router: the same as the
+    /// router's.
+    fn retry_after(&self, class: usize) -> Duration {
+        let settings = &self.settings.router;
+        settings.classes[class].aim.mul_f64(HOLD_OFF_SHARE).min(settings.max_retry_after)
     }
 
-    /// Takes a query: from here on it is owed exactly one final answer.
+    /// Accepts a query, which from then on gets exactly one final answer.
     ///
     /// # Errors
     ///
-    /// When it is not taken.
-    pub fn accept(&mut self, now: Time, query: NewQuery, ticket: ReplyId) -> Result<QueryId, NotAccepted> {
+    /// When the query is not accepted.
+    pub fn accept(&mut self, now: Time, query: NewQuery, reply_id: ReplyId) -> Result<QueryId, NotAccepted> {
         let why = if self.queries.len() + self.parts.len() >= self.settings.max_open {
-            Some(NotAccepted::AtCapacity { retry_after: self.hold_off(query.class) })
+            Some(NotAccepted::AtCapacity { retry_after: self.retry_after(query.class) })
         } else {
             self.names.contains_key(query.name.as_str()).then_some(NotAccepted::NameInUse)
         };
         if let Some(why) = why {
-            if let Some(observed) = &mut self.observed {
-                observed.not_accepted.push((query.class, why));
+            if let Some(record) = &mut self.step_record {
+                record.not_accepted.push((query.class, why));
             }
             return Err(why);
         }
@@ -399,20 +406,20 @@
         }
         let name: Arc<str> = query.name.into();
         self.names.insert(name.clone(), id);
-        let idempotency: Option<Arc<str>> = query.idempotency_key.map(Into::into);
-        if let Some(observed) = &mut self.observed {
-            observed.query_names.push(QueryNames {
+        let idempotency_key: Option<Arc<str>> = query.idempotency_key.map(Into::into);
+        if let Some(record) = &mut self.step_record {
+            record.query_names.push(QueryNames {
                 query: id,
                 name: name.clone(),
-                idempotency_key: idempotency.clone(),
+                idempotency_key: idempotency_key.clone(),
             });
         }
-        let open = Open {
+        let open = OpenQuery {
             name,
-            ticket,
+            reply_id,
             class: query.class,
-            idempotency,
-            text: query.body.into(),
+            idempotency_key,
+            body: query.body.into(),
             ends_at: now.after(query.time_left),
             parts,
         };
@@ -425,19 +432,19 @@
         self.last_id
     }
 
-    /// The client of a query has left: nobody is owed an answer any more.
+    /// Ends a query whose client has disconnected; it gets no answer.
     pub fn client_gone(&mut self, id: QueryId) {
         if self.close(id).is_some() {
             self.events.push(Event::ClientGone(id));
         }
     }
 
-    /// Whom the open query of this name is answered to.
+    /// Returns the recipient of the answer to the open query with this name.
     pub fn reply_id_of(&self, name: &str) -> Option<ReplyId> {
-        Some(self.queries.get(self.names.get(name)?)?.ticket)
+        Some(self.queries.get(self.names.get(name)?)?.reply_id)
     }
 
-    /// There is no time for what is open: each query fails.
+    /// Fails every open query, for a broker that stops.
     pub fn fail_open_queries(&mut self) -> Vec<Command> {
         let mut ids: Vec<QueryId> = self.queries.keys().copied().collect();
         ids.sort_unstable();
@@ -447,11 +454,10 @@
     fn fail(&mut self, id: QueryId) -> Option<Command> {
         let open = self.close(id)?;
         self.events.push(Event::ClientGone(id));
-        Some(Command::Finish(open.ticket, FinalAnswer::Failed))
+        Some(Command::Finish(open.reply_id, FinalAnswer::Failed))
     }
 
-    /// Guards the rule that a query ends before its client's time does, should the module ever hold one
-    /// longer: fails a query whose time is over.
+    /// Fails a query whose client deadline has passed. A safeguard: the router should have ended it earlier.
     pub fn check_deadline(&mut self, now: Time, id: QueryId) -> Option<Command> {
         if self.queries.get(&id)?.ends_at > now {
             return None;
@@ -459,7 +465,7 @@
         self.fail(id)
     }
 
-    /// An attempt ended; any further end of it is disregarded.
+    /// Handles the end of an attempt; later outcomes of the same attempt are ignored.
     pub fn outcome(
         &mut self,
         now: Time,
@@ -470,10 +476,10 @@
     ) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         let took = now.since(attempt.sent);
-        if let Some(word) = &mut self.word {
-            // One that was withdrawn for the server's silence is as one that was never answered.
-            let verdict = if attempt.silent { Verdict::NoAnswer } else { verdict };
-            word.record(
+        if let Some(gossip) = &mut self.gossip {
+            // An attempt cancelled because the server did not respond counts as unanswered.
+            let verdict = if attempt.unresponsive { Verdict::NoAnswer } else { verdict };
+            gossip.record(
                 now,
                 Observation { server: short_id(attempt.server), class: attempt.class, verdict, took },
             );
@@ -492,63 +498,66 @@
         self.events.push(Event::Outcome { part: id.0, attempt: id.1, verdict, took, load });
     }
 
-    /// A probe ended.
+    /// Handles the end of a probe.
     pub fn probed(&mut self, server: ServerId, verdict: Verdict, took: Duration, load: LoadReport) {
         self.events.push(Event::Probed { server, verdict, took, load });
     }
 
-    /// Gives the datagrams for other brokers that are due, each with the numbers of those who are to hear it.
+    /// Returns the outcome datagrams that are due, each with the indices of the brokers to send it to.
     pub fn take_gossip(&mut self, now: Time) -> Vec<(Vec<u8>, Vec<usize>)> {
-        self.word.as_mut().map(|word| word.take_due(now)).unwrap_or_default()
+        self.gossip.as_mut().map(|gossip| gossip.take_due(now)).unwrap_or_default()
     }
 
-    /// When something is to be said at the latest.
+    /// Returns when the next outcome datagram is due at the latest.
     pub fn gossip_due(&self) -> Option<Time> {
-        self.word.as_ref().and_then(Gossip::due)
+        self.gossip.as_ref().and_then(Gossip::due)
     }
 
-    /// Whether brokers may say anything to each other, and would.
+    /// Returns whether outcomes are exchanged with other brokers.
     pub fn gossip_enabled(&self) -> bool {
-        self.word.is_some()
+        self.gossip.is_some()
     }
 
-    /// Takes a datagram of another broker; what it says of servers that are not listed here is left out.
+    /// Handles an outcome datagram from another broker; outcomes of servers that are not listed are ignored.
     pub fn receive_gossip(&mut self, bytes: &[u8]) {
-        if self.word.is_none() {
+        if self.gossip.is_none() {
             return;
         }
         for Observation { server, class, verdict, took } in gossip::decode(bytes) {
-            let Some(server) = self.shorts.get(&server).copied() else { continue };
+            let Some(server) = self.short_ids.get(&server).copied() else { continue };
             self.events.push(Event::PeerOutcome { server, class, verdict, took });
         }
     }
 
-    /// A timer of the module's fell due.
+    /// Handles the expiry of a router timer.
     pub fn timer(&mut self, timer: TimerId) {
         self.events.push(Event::Timer(timer));
     }
 
-    /// Discovery can't be reached; the last list stays valid.
+    /// Handles a failure to reach discovery; the last server list stays valid.
     pub fn servers_failed(&mut self) {
         self.events.push(Event::ServersFailed);
     }
 
-    /// Takes a list of servers, whole or of changes, and gives who may no longer be sent anything. `version` is the
-    /// list's number, for the record; `until` is when those that drain may be sent nothing more, where what the list
-    /// says was told just now: whoever takes it ends them by then, if they still are [`Core::is_draining`].
+    /// Applies a server list, full or of changes only, and returns the servers that may no longer be sent
+    /// anything.
+    ///
+    /// `version` is the version of the list, for recording. `send_until` is given if the list has just been
+    /// received: draining servers may still be sent attempts until then, and the caller stops sending to
+    /// those that still are [`Core::is_draining`] at that time.
     pub fn apply_server_list(
         &mut self,
-        whole: bool,
+        full: bool,
         version: u64,
         members: &[Member],
-        until: Option<Time>,
+        send_until: Option<Time>,
     ) -> Vec<ServerId> {
-        if let Some(observed) = &mut self.observed {
-            observed.list_versions.push(version);
+        if let Some(record) = &mut self.step_record {
+            record.list_versions.push(version);
         }
-        let before = if whole { std::mem::take(&mut self.listed) } else { HashMap::new() };
+        let before = if full { std::mem::take(&mut self.listed) } else { HashMap::new() };
         let mut stopped: Vec<ServerId> = Vec::new();
-        let mut lines = Vec::with_capacity(members.len());
+        let mut entries = Vec::with_capacity(members.len());
         for member in members {
             let server = self.server_id(&member.name);
             if member.state == ServerState::Removed {
@@ -556,97 +565,99 @@
             } else {
                 self.listed.insert(server, member.state);
             }
-            let until = until.filter(|_| member.state == ServerState::Draining);
-            if member.state != ServerState::Up && until.is_none() {
+            let send_until = send_until.filter(|_| member.state == ServerState::Draining);
+            if member.state != ServerState::Up && send_until.is_none() {
                 stopped.push(server);
             }
             let zone = self.settings.zones.iter().position(|zone| *zone == member.zone);
-            lines.push(ServerEntry {
+            entries.push(ServerEntry {
                 server,
                 zone: zone.map_or(u32::MAX, |zone| zone as u32),
                 cell: member.cell,
                 state: member.state,
                 started: member.started,
-                send_until: until,
+                send_until,
             });
         }
-        if whole {
-            // A full list drops those that are absent.
+        if full {
+            // Servers that are absent from a full list are gone.
             stopped.extend(before.into_keys().filter(|server| !self.listed.contains_key(server)));
-            lines.retain(|line| line.state != ServerState::Removed);
-            self.events.push(Event::Servers(lines));
+            entries.retain(|entry| entry.state != ServerState::Removed);
+            self.events.push(Event::Servers(entries));
         } else {
-            self.events.push(Event::ServersChanged(lines));
+            self.events.push(Event::ServersChanged(entries));
         }
-        // Names that are gone do not come back: kept, they would add up over a long day.
-        self.ids.retain(|_, id| self.listed.contains_key(id));
-        self.servers.retain(|id, _| self.listed.contains_key(id));
-        self.shorts = self.listed.keys().map(|id| (short_id(*id), *id)).collect();
+        // Removed names do not return; keeping them would let memory grow as servers are replaced.
+        self.server_ids.retain(|_, id| self.listed.contains_key(id));
+        self.server_names.retain(|id, _| self.listed.contains_key(id));
+        self.short_ids = self.listed.keys().map(|id| (short_id(*id), *id)).collect();
         stopped
     }
 
-    /// The id of a server: from its name alone, so that all brokers send a key to the same home.
+    /// Returns the id of a server. It is a hash (FNV-1a) of the name, so that all brokers agree on a key's
+    /// home replica.
     pub fn server_id(&mut self, name: &str) -> ServerId {
-        if let Some(id) = self.ids.get(name) {
+        if let Some(id) = self.server_ids.get(name) {
             return *id;
         }
         let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
         });
         let mut id = ServerId(hash);
-        while self.servers.contains_key(&id) {
+        while self.server_names.contains_key(&id) {
             id = ServerId(id.0.wrapping_add(1));
         }
-        self.servers.insert(id, name.to_owned());
-        if let Some(observed) = &mut self.observed {
-            observed.new_servers.push((id, name.to_owned()));
+        self.server_names.insert(id, name.to_owned());
+        if let Some(record) = &mut self.step_record {
+            record.new_servers.push((id, name.to_owned()));
         }
-        self.ids.insert(name.to_owned(), id);
+        self.server_ids.insert(name.to_owned(), id);
         id
     }
 
-    /// Whether a server drains, as far as the list says.
+    /// Returns whether a server is listed as draining.
     pub fn is_draining(&self, server: ServerId) -> bool {
         self.listed.get(&server) == Some(&ServerState::Draining)
     }
 
-    /// How many servers are listed as running, and how many as draining.
+    /// Returns the number of servers listed as running and as draining.
     pub fn server_counts(&self) -> (usize, usize) {
         let up = self.listed.values().filter(|state| **state == ServerState::Up).count();
         (up, self.listed.len() - up)
     }
 
-    /// Whether a server that runs is listed.
+    /// Returns whether at least one running server is listed.
     pub fn can_serve(&self) -> bool {
         self.server_counts().0 > 0
     }
 
-    /// Whether a part's query is open.
+    /// Returns whether the part's query is open.
     pub fn is_part_open(&self, part: PartId) -> bool {
         self.parts.contains_key(&part)
     }
 
-    /// Queries that are owed an answer.
+    /// Returns the number of open queries.
     pub fn open_queries(&self) -> usize {
         self.queries.len()
     }
 
-    /// Whether anything has happened since the last step.
+    /// Returns whether there are events for the next step.
     pub fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// The attempts of queries that have ended since the last step, to be taken back where nothing of them was written.
+    /// Returns commands to withdraw the attempts of queries that have ended since the last call.
     pub fn withdraw_ended(&mut self) -> impl Iterator<Item = Command> + use<> {
-        std::mem::take(&mut self.over).into_iter().map(Command::Withdraw)
+        std::mem::take(&mut self.ended_attempts).into_iter().map(Command::Withdraw)
     }
 
-    /// Hands all that has happened to the module and gives what it wants done.
+    /// Passes the pending events to the router and appends the resulting commands.
     pub fn step(&mut self, now: Time, commands: &mut Vec<Command>) {
         let mut events = std::mem::take(&mut self.events);
         let mut actions = std::mem::take(&mut self.actions);
         for event in &mut events {
-            // A client's time has gone on since its query was taken: the module counts from the step.
+            // The router counts the client's time from the step, which is later than the acceptance of the
+            // query.
             if let Event::Query(query) = event
                 && let Some(open) = self.queries.get(&query.id)
             {
@@ -655,7 +666,7 @@
         }
         self.router.step(now, &events, &mut actions);
         for event in &events {
-            // A query's deadline is set once the module has seen it.
+            // A query's deadline is set once the router has received the query.
             if let Event::Query(query) = event
                 && let Some(open) = self.queries.get(&query.id)
             {
@@ -663,83 +674,83 @@
             }
         }
         self.sequence += 1;
-        match &mut self.observed {
-            Some(observed) => {
-                (observed.sequence, observed.now) = (self.sequence, now);
-                // Moved and not copied: the next step begins with an empty one either way.
-                observed.events = std::mem::take(&mut events);
-                observed.actions.clone_from(&actions);
+        match &mut self.step_record {
+            Some(record) => {
+                (record.sequence, record.now) = (self.sequence, now);
+                // Moved rather than copied: the next step starts with an empty list in either case.
+                record.events = std::mem::take(&mut events);
+                record.actions.clone_from(&actions);
             }
             None => events.clear(),
         }
         for action in actions.drain(..) {
-            commands.extend(self.carry_out(now, action));
+            commands.extend(self.command(now, action));
         }
         commands.extend(self.withdraw_ended());
-        // What was refused on the spot came in meanwhile.
+        // Carrying out the actions may have added events.
         events.append(&mut self.events);
         (self.events, self.actions) = (events, actions);
     }
 
-    fn carry_out(&mut self, now: Time, action: Action) -> Option<Command> {
+    fn command(&mut self, now: Time, action: Action) -> Option<Command> {
         Some(match action {
-            Action::Send { part, server, timeout: time_out, .. } => {
-                return self.send(now, part, server, time_out);
+            Action::Send { part, server, timeout, .. } => {
+                return self.send(now, part, server, timeout);
             }
             Action::Cancel { part, attempt, why } => {
-                self.attempts.get_mut(&(part, attempt))?.silent = why == CancelReason::Unresponsive;
+                self.attempts.get_mut(&(part, attempt))?.unresponsive = why == CancelReason::Unresponsive;
                 Command::Cancel((part, attempt))
             }
             Action::CloseIdle { server } => Command::CloseIdle(server),
             Action::Probe { server } => Command::Probe(server),
-            Action::Answer { query, complete: whole, .. } => {
+            Action::Answer { query, complete, .. } => {
                 let open = self.close(query)?;
                 let values = open.parts.into_iter().map(|part| (part.shard, part.value)).collect();
-                Command::Finish(open.ticket, FinalAnswer::Answered { complete: whole, values })
+                Command::Finish(open.reply_id, FinalAnswer::Answered { complete, values })
             }
-            Action::Refuse { query, retry_after: hold_off, .. } => {
-                Command::Finish(self.close(query)?.ticket, FinalAnswer::Refused { retry_after: hold_off })
+            Action::Refuse { query, retry_after, .. } => {
+                Command::Finish(self.close(query)?.reply_id, FinalAnswer::Refused { retry_after })
             }
-            Action::Fail { query, .. } => Command::Finish(self.close(query)?.ticket, FinalAnswer::Failed),
+            Action::Fail { query, .. } => Command::Finish(self.close(query)?.reply_id, FinalAnswer::Failed),
             Action::SetTimer { timer, at } => Command::SetTimer(at, timer),
             Action::WatchServers => Command::WatchServers,
         })
     }
 
-    fn send(&mut self, now: Time, part: PartId, server: ServerId, time_out: Duration) -> Option<Command> {
+    fn send(&mut self, now: Time, part: PartId, server: ServerId, timeout: Duration) -> Option<Command> {
         let entry = self.parts.get_mut(&part)?;
         let open = self.queries.get(&entry.query)?;
         let number = entry.attempts;
         entry.attempts += 1;
         let class = open.class;
-        let latest = match self.settings.router.classes[class].retry_safety {
+        let start_before = match self.settings.router.classes[class].retry_safety {
             RetrySafety::Keyed(window) => {
                 open.parts[entry.index].may_have_run.map(|first| first.after(window))
             }
             RetrySafety::Safe | RetrySafety::Unsafe => None,
         };
-        self.attempts.insert((part, number), Attempt { sent: now, server, class, silent: false });
+        self.attempts.insert((part, number), Attempt { sent: now, server, class, unresponsive: false });
         Some(Command::Send(SendAttempt {
             attempt: (part, number),
             server,
             query: open.name.clone(),
             shard: open.parts[entry.index].shard,
-            idempotency_key: open.idempotency.clone(),
-            body: open.text.clone(),
+            idempotency_key: open.idempotency_key.clone(),
+            body: open.body.clone(),
             aim: self.settings.router.classes[class].aim,
-            deadline: now.after(time_out).min(open.ends_at),
-            start_before: latest,
+            deadline: now.after(timeout).min(open.ends_at),
+            start_before,
         }))
     }
 
-    /// Ends a query: whoever gets it here is the only one to answer it.
-    fn close(&mut self, id: QueryId) -> Option<Open> {
+    /// Removes an open query. Only the caller that receives it may answer it, so that it is answered once.
+    fn close(&mut self, id: QueryId) -> Option<OpenQuery> {
         let open = self.queries.remove(&id)?;
         self.names.remove(&open.name);
         for part in &open.parts {
             let attempts = self.parts.remove(&part.id).map_or(0, |entry| entry.attempts);
-            let out = (0..attempts).map(|number| (part.id, number));
-            self.over.extend(out.filter(|attempt| self.attempts.contains_key(attempt)));
+            let sent = (0..attempts).map(|number| (part.id, number));
+            self.ended_attempts.extend(sent.filter(|attempt| self.attempts.contains_key(attempt)));
         }
         Some(open)
     }
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -1,5 +1,8 @@
-//! Word between brokers of how attempts ended: a broker among many meets a server once in seconds, all of them
-//! together meet it many times in that. What is said, to how many, and when; no I/O.
+//! Exchange of attempt outcomes between brokers (gossip).
+//!
+//! One broker among many reaches a given server only once in several seconds, while all of them together
+//! reach it many times in that period. This module defines the datagram format, the recipients and the
+//! timing; it does no I/O.
 
 use std::time::Duration;
 
@@ -9,41 +12,44 @@
 
 use crate::interface::{ServerId, Time, Verdict};
 
-/// Longest datagram that brokers may send each other.
+/// Maximum size of a datagram between brokers.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The first byte: what this is, and its version.
-const MARK: u8 = 0xb1;
-/// Bytes of one sighting: four of the server's id, one for its class and how it ended, two for its time.
-const EACH: usize = 7;
-/// Unit of the time it took.
-const UNIT: Duration = Duration::from_micros(100);
-/// Up to so many brokers, each learns enough by itself and nothing is said.
-const FEW: u32 = 8;
-/// What word may cost of the result, by the settings' price ...
-const SPEND: f64 = 0.005;
-/// ... and how many hear each word at the most.
-const MOST_HEARERS: usize = 20;
-/// Word waits for more to go along for this part of the shortest aim.
-const WAIT_PART: u32 = 20;
+/// First byte of a datagram: identifies the format and its version.
+const FORMAT_BYTE: u8 = 0xb1;
+/// Encoded size of an observation: four bytes for the server id, one for class and verdict, two for the
+/// duration.
+const OBSERVATION_BYTES: usize = 7;
+/// Unit of the encoded duration.
+const DURATION_UNIT: Duration = Duration::from_micros(100);
+/// Up to this many brokers, each observes enough by itself and nothing is exchanged.
+const MAX_BROKERS_WITHOUT_GOSSIP: u32 = 8;
+/// Share of the worth of a part that one observation may cost over all its recipients, by the configured
+/// price.
+const MAX_COST: f64 = 0.005;
+/// Maximum number of recipients of a datagram.
+const MAX_FANOUT: usize = 20;
+/// An observation waits for others to share its datagram for the shortest aim divided by this.
+const MAX_DELAY_DIVISOR: u32 = 20;
 
 /// How an attempt at a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// The low half of the server's id.
+    /// Low half of the server's id.
     pub server: u32,
-    /// The class asked.
+    /// Index of the query's class.
     pub class: usize,
-    /// How it ended.
+    /// How the attempt ended.
     pub verdict: Verdict,
-    /// How long it took.
+    /// Time since it was sent.
     pub took: Duration,
 }
 
-/// The low half of a server's id, by which brokers name it to each other.
+/// Returns the low half of a server's id, which identifies it in datagrams.
 pub fn short_id(server: ServerId) -> u32 {
     server.0 as u32
 }
 
+/// Verdicts by their code in a datagram.
 const VERDICTS: [Verdict; 6] = [
     Verdict::Served,
     Verdict::Error,
@@ -53,86 +59,91 @@
     Verdict::ConnectionLost,
 ];
 
-/// Reads a datagram. What is no word, or ends within a sighting, says nothing.
+/// Decodes a datagram. Returns nothing for a datagram of another format, of excessive size or with a
+/// truncated observation, and skips observations with an unknown verdict.
 pub fn decode(bytes: &[u8]) -> Vec<Observation> {
-    let Some((&MARK, rest)) = bytes.split_first() else { return Vec::new() };
-    if bytes.len() > MAX_DATAGRAM_BYTES || !rest.len().is_multiple_of(EACH) {
+    let Some((&FORMAT_BYTE, rest)) = bytes.split_first() else { return Vec::new() };
+    if bytes.len() > MAX_DATAGRAM_BYTES || !rest.len().is_multiple_of(OBSERVATION_BYTES) {
         return Vec::new();
     }
-    let sighting = |bytes: &[u8]| {
+    let observation = |bytes: &[u8]| {
         let &[a, b, c, d, kind, high, low] = bytes else { return None };
         let (class, verdict) = (usize::from(kind >> 4), *VERDICTS.get(usize::from(kind & 15))?);
-        let took = UNIT * u32::from(u16::from_be_bytes([high, low]));
+        let took = DURATION_UNIT * u32::from(u16::from_be_bytes([high, low]));
         Some(Observation { server: u32::from_be_bytes([a, b, c, d]), class, verdict, took })
     };
-    rest.chunks(EACH).filter_map(sighting).collect()
+    rest.chunks(OBSERVATION_BYTES).filter_map(observation).collect()
 }
 
-/// What a broker has to say.
+/// Collects a broker's observations and encodes them for other brokers.
 pub struct Gossip {
-    me: usize,
-    peers: usize,
-    hearers: usize,
-    wait: Duration,
+    index: usize,
+    brokers: usize,
+    fanout: usize,
+    max_delay: Duration,
     pending: Vec<u8>,
-    since: Time,
+    /// When the oldest pending observation was recorded.
+    pending_since: Time,
     rng: ChaCha8Rng,
 }
 
 impl Gossip {
-    /// Word of the broker `me` of `peers`; none where few brokers learn enough by themselves.
-    pub fn new(me: usize, peers: usize, price: f64, aim: Duration, seed: u64) -> Option<Self> {
-        let paid = SPEND / (price.max(0.0) * EACH as f64 / MAX_DATAGRAM_BYTES as f64);
-        let hearers = (paid as usize).min(MOST_HEARERS).min(peers.saturating_sub(1));
-        (peers > FEW as usize && hearers > 0 && me < peers).then(|| Gossip {
-            me,
-            peers,
-            hearers,
-            wait: aim / WAIT_PART,
+    /// Creates the sender of the broker with this index. `price` is the cost of a datagram of the maximum
+    /// size, as a fraction of the worth of a part; `aim` is the shortest aim of any class.
+    ///
+    /// Returns `None` if there are few enough brokers for each to observe enough by itself, if the price does
+    /// not allow a single recipient, or if the index is out of range.
+    pub fn new(index: usize, brokers: usize, price: f64, aim: Duration, seed: u64) -> Option<Self> {
+        let affordable = MAX_COST / (price.max(0.0) * OBSERVATION_BYTES as f64 / MAX_DATAGRAM_BYTES as f64);
+        let fanout = (affordable as usize).min(MAX_FANOUT).min(brokers.saturating_sub(1));
+        (brokers > MAX_BROKERS_WITHOUT_GOSSIP as usize && fanout > 0 && index < brokers).then(|| Gossip {
+            index,
+            brokers,
+            fanout,
+            max_delay: aim / MAX_DELAY_DIVISOR,
             pending: Vec::new(),
-            since: Time(0),
+            pending_since: Time(0),
             rng: ChaCha8Rng::seed_from_u64(seed),
         })
     }
 
-    /// Takes note of how an attempt ended.
-    pub fn record(&mut self, now: Time, seen: Observation) {
-        let Some(verdict) = VERDICTS.iter().position(|v| *v == seen.verdict) else { return };
-        let Some(kind) = u8::try_from(seen.class).ok().filter(|c| *c < 16).map(|c| (c << 4) | verdict as u8)
-        else {
-            return;
-        };
+    /// Records how an attempt ended. Ignores verdicts and classes that the format cannot express.
+    pub fn record(&mut self, now: Time, observation: Observation) {
+        let Some(verdict) = VERDICTS.iter().position(|v| *v == observation.verdict) else { return };
+        let class = u8::try_from(observation.class).ok().filter(|c| *c < 16);
+        let Some(kind) = class.map(|c| (c << 4) | verdict as u8) else { return };
         if self.pending.is_empty() {
-            self.since = now;
-            self.pending.push(MARK);
+            self.pending_since = now;
+            self.pending.push(FORMAT_BYTE);
         }
-        let took = (seen.took.as_micros() / UNIT.as_micros()).min(u128::from(u16::MAX)) as u16;
-        self.pending.extend(seen.server.to_be_bytes());
+        let took =
+            (observation.took.as_micros() / DURATION_UNIT.as_micros()).min(u128::from(u16::MAX)) as u16;
+        self.pending.extend(observation.server.to_be_bytes());
         self.pending.push(kind);
         self.pending.extend(took.to_be_bytes());
     }
 
-    /// When something is to be said at the latest.
+    /// Returns when the pending observations must be sent at the latest.
     pub fn due(&self) -> Option<Time> {
-        (!self.pending.is_empty()).then(|| self.since.after(self.wait))
+        (!self.pending.is_empty()).then(|| self.pending_since.after(self.max_delay))
     }
 
-    /// Gives the datagrams that are due, each with the numbers of those who are to hear it.
+    /// Returns the datagrams that are due, each with the indices of its randomly chosen recipients.
     pub fn take_due(&mut self, now: Time) -> Vec<(Vec<u8>, Vec<usize>)> {
-        let most = 1 + (MAX_DATAGRAM_BYTES - 1) / EACH * EACH;
-        let mut said = Vec::new();
-        while self.pending.len() >= most || self.due().is_some_and(|due| due <= now) {
-            let rest = self.pending.split_off(self.pending.len().min(most));
+        let full = 1 + (MAX_DATAGRAM_BYTES - 1) / OBSERVATION_BYTES * OBSERVATION_BYTES;
+        let mut datagrams = Vec::new();
+        while self.pending.len() >= full || self.due().is_some_and(|due| due <= now) {
+            let rest = self.pending.split_off(self.pending.len().min(full));
             let datagram = std::mem::replace(&mut self.pending, rest);
             if !self.pending.is_empty() {
-                self.pending.insert(0, MARK);
+                self.pending.insert(0, FORMAT_BYTE);
             }
-            // Numbers of all but this broker.
-            let others = index::sample(&mut self.rng, self.peers - 1, self.hearers);
-            let hearers = others.into_iter().map(|n| if n >= self.me { n + 1 } else { n }).collect();
-            said.push((datagram, hearers));
+            // Sampled from the indices of the other brokers, which skip this broker's own.
+            let others = index::sample(&mut self.rng, self.brokers - 1, self.fanout);
+            let recipients = others.into_iter().map(|n| if n >= self.index { n + 1 } else { n }).collect();
+            datagrams.push((datagram, recipients));
         }
-        said
+        datagrams
     }
 }
 
@@ -142,69 +153,74 @@
 
     const AIM: Duration = Duration::from_millis(500);
 
-    fn seen(server: u32, verdict: Verdict) -> Observation {
+    fn observation(server: u32, verdict: Verdict) -> Observation {
         Observation { server, class: 2, verdict, took: Duration::from_millis(u64::from(server % 5000)) }
     }
 
-    // Guards the price in the settings, few brokers that learn enough by themselves, and odd settings.
+    // Guards against a fan-out that costs more than the price allows, gossip among too few brokers, and
+    // extreme prices.
     #[test]
-    fn word_is_said_where_it_pays_and_to_as_many_as_it_may_cost() {
-        let hearers = |peers, price| Gossip::new(0, peers, price, AIM, 7).map(|word| word.hearers);
-        assert_eq!([0, 1, 3, 8].map(|peers| hearers(peers, 0.01)), [None; 4]);
-        assert_eq!((hearers(100, 0.01), hearers(100, 0.0), hearers(9, 0.0)), (Some(18), Some(20), Some(8)));
+    fn fanout_follows_price_and_number_of_brokers() {
+        let fanout = |brokers, price| Gossip::new(0, brokers, price, AIM, 7).map(|gossip| gossip.fanout);
+        assert_eq!([0, 1, 3, 8].map(|brokers| fanout(brokers, 0.01)), [None; 4]);
+        assert_eq!((fanout(100, 0.01), fanout(100, 0.0), fanout(9, 0.0)), (Some(18), Some(20), Some(8)));
         assert_eq!(
-            (hearers(100, 1.0), hearers(1000, f64::INFINITY), hearers(100, -1.0)),
+            (fanout(100, 1.0), fanout(1000, f64::INFINITY), fanout(100, -1.0)),
             (None, None, Some(20))
         );
-        assert!(Gossip::new(100, 100, 0.01, AIM, 7).is_none(), "a number beyond those there are");
+        assert!(Gossip::new(100, 100, 0.01, AIM, 7).is_none(), "index out of range");
     }
 
-    // Guards the limit on a datagram, past which a broker is at fault, and that nothing is lost on the way.
+    // Guards against datagrams over the maximum size, lost observations, and a broker among its own
+    // recipients.
     #[test]
-    fn what_is_said_is_heard_whole_by_others_in_datagrams_that_may_be_sent() {
-        let mut word = Gossip::new(3, 100, 0.01, AIM, 7).expect("many");
+    fn all_observations_are_sent_to_distinct_others_in_datagrams_of_legal_size() {
+        let mut gossip = Gossip::new(3, 100, 0.01, AIM, 7).expect("many brokers");
         let all: Vec<Observation> =
-            (0..100).map(|n| seen(n * 40, VERDICTS[n as usize % VERDICTS.len()])).collect();
-        all.iter().for_each(|seen| word.record(Time(0), *seen));
-        word.record(Time(0), seen(1, Verdict::Cancelled));
-        word.record(Time(0), Observation { class: 16, ..seen(1, Verdict::Served) });
-        let mut heard = Vec::new();
-        for (bytes, hearers) in word.take_due(Time(0).after(AIM)) {
+            (0..100).map(|n| observation(n * 40, VERDICTS[n as usize % VERDICTS.len()])).collect();
+        all.iter().for_each(|observation| gossip.record(Time(0), *observation));
+        gossip.record(Time(0), observation(1, Verdict::Cancelled));
+        gossip.record(Time(0), Observation { class: 16, ..observation(1, Verdict::Served) });
+        let mut received = Vec::new();
+        for (bytes, recipients) in gossip.take_due(Time(0).after(AIM)) {
             assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
-            let mut once = hearers.clone();
-            once.sort_unstable();
-            once.dedup();
-            assert!(once.len() == 18 && !once.contains(&3) && once.iter().all(|h| *h < 100), "{once:?}");
-            heard.extend(decode(&bytes));
+            let mut distinct = recipients.clone();
+            distinct.sort_unstable();
+            distinct.dedup();
+            assert!(
+                distinct.len() == 18 && !distinct.contains(&3) && distinct.iter().all(|n| *n < 100),
+                "{distinct:?}"
+            );
+            received.extend(decode(&bytes));
         }
-        assert_eq!(heard, all);
-        assert_eq!((word.due(), word.take_due(Time(0).after(AIM)).len()), (None, 0));
+        assert_eq!(received, all);
+        assert_eq!((gossip.due(), gossip.take_due(Time(0).after(AIM)).len()), (None, 0));
     }
 
-    // Word goes out when a datagram is full, or a twentieth of the aim after its first sighting.
+    // A datagram is due when it is full, or a twentieth of the aim after its first observation.
     #[test]
-    fn little_waits_for_more_and_no_longer_than_its_time() {
-        let mut word = Gossip::new(3, 100, 0.01, AIM, 7).expect("many");
-        word.record(Time(0), seen(1, Verdict::Served));
-        assert_eq!(word.due(), Some(Time(0).after(AIM / WAIT_PART)));
-        assert!(word.take_due(Time(0).after(AIM / WAIT_PART / 2)).is_empty());
-        (0..36).for_each(|n| word.record(Time(0), seen(n, Verdict::Error)));
-        assert_eq!(word.take_due(Time(0)).len(), 1, "a full one");
-        assert_eq!(word.take_due(Time(0).after(AIM / WAIT_PART)).len(), 1, "the rest");
+    fn partial_datagrams_wait_for_the_maximum_delay() {
+        let mut gossip = Gossip::new(3, 100, 0.01, AIM, 7).expect("many brokers");
+        gossip.record(Time(0), observation(1, Verdict::Served));
+        assert_eq!(gossip.due(), Some(Time(0).after(AIM / MAX_DELAY_DIVISOR)));
+        assert!(gossip.take_due(Time(0).after(AIM / MAX_DELAY_DIVISOR / 2)).is_empty());
+        (0..36).for_each(|n| gossip.record(Time(0), observation(n, Verdict::Error)));
+        assert_eq!(gossip.take_due(Time(0)).len(), 1, "a full datagram");
+        assert_eq!(gossip.take_due(Time(0).after(AIM / MAX_DELAY_DIVISOR)).len(), 1, "the rest");
     }
 
     #[test]
-    fn spoilt_word_says_nothing() {
-        let mut word = Gossip::new(3, 100, 0.01, AIM, 7).expect("many");
-        word.record(Time(0), seen(1, Verdict::Served));
-        let (sound, _) = word.take_due(Time(0).after(AIM)).remove(0);
-        assert_eq!(decode(&sound).len(), 1);
-        for end in 0..sound.len() {
-            assert!(decode(&sound[..end]).is_empty(), "cut at {end}");
+    fn malformed_datagrams_are_ignored() {
+        let mut gossip = Gossip::new(3, 100, 0.01, AIM, 7).expect("many brokers");
+        gossip.record(Time(0), observation(1, Verdict::Served));
+        let (valid, _) = gossip.take_due(Time(0).after(AIM)).remove(0);
+        assert_eq!(decode(&valid).len(), 1);
+        for end in 0..valid.len() {
+            assert!(decode(&valid[..end]).is_empty(), "truncated at {end}");
         }
-        let long = [&[MARK][..], &[0; 37 * EACH]].concat();
-        for spoilt in [&[0xff][..], &[MARK, 0, 0, 0, 1, 0x0f, 0, 0], &long] {
-            assert!(decode(spoilt).is_empty(), "{spoilt:?}");
+        let long = [&[FORMAT_BYTE][..], &[0; 37 * OBSERVATION_BYTES]].concat();
+        for malformed in [&[0xff][..], &[FORMAT_BYTE, 0, 0, 0, 1, 0x0f, 0, 0], &long] {
+            assert!(decode(malformed).is_empty(), "{malformed:?}");
         }
     }
 }
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -154,8 +154,8 @@
     pub call_cost: Duration,
     /// Minimum time between two steps.
     pub tick: Duration,
-    /// Part of a client's time that passes before its query is accepted and after its answer is sent, which the
-    /// router cannot observe. [`Query::time_left`] already excludes it; the aim of a class does not.
+    /// Part of a client's time that passes before its query is accepted and after its answer is sent, which
+    /// the router cannot observe. [`Query::time_left`] already excludes it; the aim of a class does not.
     pub network_allowance: Duration,
     /// Maximum number of attempts per part.
     pub max_attempts: u32,
@@ -556,7 +556,7 @@
         /// Why it is refused.
         why: Ending,
     },
-    /// Fail a query. Some of it may have run, so the client must not assume that a retry is safe.
+    /// Fail a query. It may have run, so the client must not assume that a retry is safe.
     Fail {
         /// Query to fail.
         query: QueryId,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,14 +1,15 @@
-//! The decisions of a query router in front of a sharded, replicated store.
+//! Decision logic of a query router in front of a sharded, replicated store.
 //!
-//! A front node takes in queries, each with one part for every shard it needs, and hands them to a
-//! [`Router`]. The router predicts how long each part would take at each replica, leaves a part unsent
-//! when no replica can finish it before the aim, and answers from the parts that came. It does no I/O, reads no clock
-//! and starts no thread: the caller tells it what happened and carries out what it says.
+//! A front node accepts queries, each with one part for every shard it needs, and passes them to a
+//! [`Router`]. The router predicts how long each part would take at each replica, does not send a part that
+//! no replica can finish before the aim, and answers from the results that arrived. It does no I/O, reads no
+//! clock and starts no thread: the caller passes events in and carries out the returned actions.
 //!
 //! ```
 //! # use std::time::Duration;
-//! use badgergauge_core::{Action, Class, ColdStart, Event, ServerEntry, LoadReport, Part, PartId, Query, QueryId};
-//! use badgergauge_core::{QueryNumber, Router, RetrySafety, ServerId, ServerState, Settings, ShardId, Time, Verdict};
+//! use badgergauge_core::{Action, Class, ColdStart, Event, LoadReport, Part, PartId, Query, QueryId};
+//! use badgergauge_core::{QueryNumber, RetrySafety, Router, ServerEntry, ServerId, ServerState, Settings};
+//! use badgergauge_core::{ShardId, Time, Verdict};
 //!
 //! let settings = Settings {
 //!     front_nodes: 1,
@@ -55,7 +56,14 @@
 //! let mut router = Router::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! let server = ServerEntry { server: ServerId(7), zone: 0, cell: 0, state: ServerState::Up, started: None, send_until: None };
+//! let server = ServerEntry {
+//!     server: ServerId(7),
+//!     zone: 0,
+//!     cell: 0,
+//!     state: ServerState::Up,
+//!     started: None,
+//!     send_until: None,
+//! };
 //! let query = Query {
 //!     id: QueryId(1),
 //!     number: QueryNumber(1),
@@ -94,14 +102,16 @@
 //! # Ok::<(), badgergauge_core::SettingsError>(())
 //! ```
 //!
-//! # What the caller must do
+//! # Requirements on the caller
 //!
-//! - Call [`Router::step`] once a round with all that happened since the last, in order of arrival, a
-//!   query's parts after it in the same call; carry the actions out in order, at the time given.
-//! - Give a clock that never goes back, and number a part's attempts from 0 in the order of its sends.
-//! - Bring back every timer, and exactly one outcome for every attempt, after its query has ended too.
-//! - Carry out [`Action::Probe`] where [`Settings::may_probe`] is set, and bring back one [`Event::Probed`]
-//!   for each; without results a query that waits for them goes on after two ticks.
+//! - Call [`Router::step`] once per round with all events since the last call, in order of arrival and with
+//!   the parts of a query after it in the same call. Carry out the actions in order, at the time passed to
+//!   the call.
+//! - Use a clock that never goes back, and number a part's attempts from 0 in the order in which they are
+//!   sent.
+//! - Report every timer, and exactly one outcome for every attempt, even after its query has ended.
+//! - Carry out [`Action::Probe`] if [`Settings::may_probe`] is set, and report one [`Event::Probed`] for each
+//!   probe. A query that waits for probe results that do not arrive continues after two ticks.
 #![deny(unsafe_code)]
 
 pub mod core;
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// Builds a load report from named values. Each value is looked up by its name in the settings' `stats.columns`
-/// first, then by its name in the protocol specification.
+/// Builds a load report from named values. Each value is looked up by its name in the settings'
+/// `stats.columns` first, then by its name in the protocol specification.
 pub fn load_report(value: impl Fn(&str) -> Option<f64>) -> LoadReport {
     let either = |name, other| value(name).or_else(|| value(other));
     LoadReport {
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Word between brokers, over sockets: what one program says of its attempts, and what it makes of what it hears.
+//! Gossip over sockets: the datagrams that a broker process sends about its attempts, and those it receives.
 
 use std::net::UdpSocket;
 use std::process::Child;
@@ -11,9 +11,10 @@
 
 mod program;
 
-/// Long after anything that works has happened; no verdict hangs on it.
-const HANGS: Duration = Duration::from_secs(20);
+/// Timeout after which an expected datagram counts as lost.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// A broker process and its configuration file, both removed on drop.
 struct Program(Child, std::path::PathBuf);
 
 impl Drop for Program {
@@ -24,14 +25,14 @@
     }
 }
 
-/// Starts a broker that is number 0 of ten, whose others are the sockets given.
-fn start(server: &TileServer, others: &[UdpSocket]) -> (Program, String) {
-    let file = std::env::temp_dir().join(format!("badgergauge-word-{}.json", std::process::id()));
+/// Starts the broker with index 0 of ten, with the given sockets as its peers.
+fn start(server: &TileServer, peers: &[UdpSocket]) -> (Program, String) {
+    let file = std::env::temp_dir().join(format!("badgergauge-gossip-{}.json", std::process::id()));
     let mut config = program::config(&[server.address().to_string(), server.address().to_string()]);
-    let at = |socket: &UdpSocket| Value::from(socket.local_addr().expect("bound").to_string());
-    // Its own address is one that the system picks; the others learn it from what they hear.
+    let address_of = |socket: &UdpSocket| Value::from(socket.local_addr().expect("bound").to_string());
+    // The operating system picks its port, which the peers learn from the datagrams that they receive.
     config["peer_listen"] = "127.0.0.1:0".into();
-    config["peers"] = std::iter::once("127.0.0.1:1".into()).chain(others.iter().map(at)).collect();
+    config["peers"] = std::iter::once("127.0.0.1:1".into()).chain(peers.iter().map(address_of)).collect();
     config["settings"]["balancers"] = 10.into();
     config["settings"]["limits"]["peers"] = true.into();
     std::fs::write(&file, config.to_string()).expect("written");
@@ -51,29 +52,31 @@
 }
 
 #[test]
-fn a_broker_tells_others_how_its_attempts_ended_and_bears_what_it_hears() {
+fn a_broker_sends_its_outcomes_to_peers_and_survives_malformed_datagrams() {
     let server = TileServer::start().expect("starts");
-    let others: Vec<_> = (1..10).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a free port")).collect();
-    let (program, address) = start(&server, &others);
-    let heard = &others[4];
-    heard.set_read_timeout(Some(HANGS)).expect("set");
-    let hears = |name: &str| {
+    let peers: Vec<_> = (1..10).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a free port")).collect();
+    let (program, address) = start(&server, &peers);
+    let receiver = &peers[4];
+    receiver.set_read_timeout(Some(RECEIVE_TIMEOUT)).expect("set");
+    let receive_after_query = |name: &str| {
         assert!(ask(&address, name).starts_with("HTTP/1.1 200"), "{name}");
         let mut bytes = [0; 512];
-        let (length, from) = heard.recv_from(&mut bytes).expect("all nine hear it");
-        let seen = gossip::decode(&bytes[..length]);
+        let (length, from) = receiver.recv_from(&mut bytes).expect("sent to all nine peers");
+        let observations = gossip::decode(&bytes[..length]);
         assert!(length <= gossip::MAX_DATAGRAM_BYTES, "{length} bytes");
-        assert_eq!(seen.iter().map(|s| (s.class, s.verdict)).collect::<Vec<_>>(), [(0, Verdict::Served)]);
+        let seen: Vec<_> = observations.iter().map(|o| (o.class, o.verdict)).collect();
+        assert_eq!(seen, [(0, Verdict::Served)]);
         from
     };
-    let to = hears("aa");
-    // Noise of each kind: from a stranger, spoilt, too long, of unknown servers, and empty.
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    let to = receive_after_query("aa");
+    // Datagrams that are empty, of another format, too long, truncated or about unknown servers, from an unknown
+    // sender and from a peer.
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     for bytes in [&[][..], &[0xff; 300], &[0xb1; 8], &[0xb1; 255], &[0; 256]] {
-        for from in [&stranger, &others[0]] {
+        for from in [&unknown_sender, &peers[0]] {
             from.send_to(bytes, to).expect("sent");
         }
     }
-    assert_eq!(hears("bb"), to);
+    assert_eq!(receive_after_query("bb"), to);
     drop(program);
 }
