--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -308,9 +308,9 @@
         self.router.restore(now, snapshot)
     }
 
-    /// Stops spending budgets, as another process of this broker spends them from now on; see
+    /// Stops using the budgets, which another process of this broker uses from now on; see
     /// [`Router::hold_budgets_back`].
-    pub fn hold_budgets_back(&mut self) {
+    pub fn suspend_budgets(&mut self) {
         self.router.hold_budgets_back();
     }
 
@@ -319,19 +319,19 @@
         self.router.spending(now, since)
     }
 
-    /// Starts spending budgets, counting what another process of this broker has spent; see
+    /// Starts using the budgets, counting what another process of this broker has spent; see
     /// [`Router::take_budgets_over`].
     ///
     /// # Errors
     ///
-    /// When `spending` contains impossible numbers. The core is then unchanged.
-    pub fn take_budgets_over(&mut self, now: Time, spending: &Spending) -> Result<(), SnapshotError> {
+    /// When `spending` holds invalid numbers. The core is then unchanged.
+    pub fn take_over_budgets(&mut self, now: Time, spending: &Spending) -> Result<(), SnapshotError> {
         self.router.take_budgets_over(now, spending)
     }
 
-    /// Recovers the budgets after the other process ended without reporting its spending; see
-    /// [`Router::recover_budgets`].
-    pub fn recover_budgets(&mut self, now: Time) {
+    /// Handles the end of the other process without a report of its spending: suspended budgets stay suspended
+    /// for as long as that spending may count; see [`Router::recover_budgets`].
+    pub fn limit_budget_suspension(&mut self, now: Time) {
         self.router.recover_budgets(now);
     }
 
--- a/src/broker/upgrade.rs
+++ b/src/broker/upgrade.rs
@@ -66,7 +66,7 @@
             self.net.poll.remove(socket);
         }
         // Cold servers fall under the sum of both processes, and the budget of further attempts is one.
-        self.core.hold_budgets_back();
+        self.core.suspend_budgets();
         let spending = self.core.spending(now, self.snapshot_taken);
         if let Some(upgrade) = &mut self.upgrade {
             upgrade.leave_rendezvous(&self.net);
@@ -84,7 +84,7 @@
 
     /// The successor has ended, and this process goes on in its place.
     fn resume_accepting(&mut self, now: Time) {
-        self.core.recover_budgets(now);
+        self.core.limit_budget_suspension(now);
         for (key, listener) in self.released.drain(..) {
             if self.net.poll.add(&listener, key, true, false).is_ok() {
                 self.listeners.push((key, listener));
@@ -108,7 +108,7 @@
             PredecessorNews::None => {}
             PredecessorNews::Spending(spending) => self.take_budgets_over(now, &spending),
             PredecessorNews::Ended => {
-                self.core.recover_budgets(now);
+                self.core.limit_budget_suspension(now);
                 self.most_clients = self.most_clients_alone;
                 tracing::info!("upgrade: the old process has ended");
                 self.take_store_over();
@@ -135,10 +135,10 @@
     fn take_budgets_over(&mut self, now: Time, spending: &str) {
         let read = serde_json::from_str(spending).map_err(|error| error.to_string());
         let taken =
-            read.and_then(|read| self.core.take_budgets_over(now, &read).map_err(|error| error.to_string()));
+            read.and_then(|read| self.core.take_over_budgets(now, &read).map_err(|error| error.to_string()));
         if let Err(error) = taken {
             tracing::warn!("upgrade: what the old process has spent can't be read: {error}");
-            self.core.recover_budgets(now);
+            self.core.limit_budget_suspension(now);
         }
     }
 
@@ -148,7 +148,7 @@
         self.most_clients = self.most_clients.min(limits.successor);
         tracing::info!("upgrade: {} sockets of the running process are taken over", offer.roles.len());
         self.restore(now, offer.snapshot.as_deref());
-        self.core.hold_budgets_back();
+        self.core.suspend_budgets();
     }
 
     /// Takes what the predecessor's module has learned, where it can be read.
