--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -1,7 +1,10 @@
-//! Every decision of the router, in the order in which a query travels; why so: `docs/design/decisions.md`.
-//! A query is taken in with its parts; each part's time is predicted at each replica by a linear fit; a
-//! part goes to the first replica, home first, that can finish before the aim, and else stays unsent;
-//! the query is answered from the parts that came. What follows that path guards it against failures.
+//! The router's decisions, in the order in which a query passes through them. The design and its reasons:
+//! `docs/design/decisions.md`.
+//!
+//! A query is accepted together with its parts. A linear fit predicts the time of each part at each replica.
+//! A part is sent to the first replica, its home replica first, that can finish it before the aim; otherwise
+//! it is not sent. The query is answered from the parts that were served. The code after that path handles
+//! failures: withdrawals, retries, cold servers and connections.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::f64::consts::LN_2;
@@ -14,105 +17,133 @@
 mod avoided;
 pub mod snapshot;
 
-/// Features of the fit: intercept, cost of the class, own work out at the server, its reported load, and what
-/// the part's hint says beyond the cost of its class.
-const FEATURES: usize = 5;
-/// Predictions start at this share of the aim (DESIGN's tenth).
-const START_SHARE: f64 = 0.1;
-/// Half-life of what was learned, in mean aims: outlasts noise; where others tell, as fast as queues empty.
-const HALF_LIFE_AIMS: [f64; 2] = [4.0, 0.4];
-/// The check then adds so many spreads for each e-fold of the parts waited for: the last one decides.
-const TOLD_SPREADS: f64 = 0.1;
-/// The cost is a time already and hardly tells from the intercept: its weight is held so much harder.
-const COST_HOLD: f64 = 10.0;
-/// A server's own fit is pulled to the average fit with the weight of so many outcomes.
-const POOL_WEIGHT: f64 = 3.0;
-/// Relative spread of part times before any is known: long-tailed, but well under the mean.
-const START_SPREAD: f64 = 0.5;
-/// Relative errors are cut off here: one stall should count once, not as its square.
-const MAX_ERROR: f64 = 2.0;
-/// No part is predicted to take under this share of its class's start value, whatever the fit says.
-const LEAST_TIME: f64 = 0.2;
-/// A class's cost is the mean of about so many outcomes.
-const COST_MEMORY: f64 = 30.0;
-/// The check adds so many spreads to the fit: about two in three parts come sooner.
-const CHECK_SPREADS: f64 = 0.6;
-/// An attempt is overdue after so many spreads above the fit: few sound ones are.
+/// Features of the fit: intercept, cost of the class, own outstanding work at the server, the load it
+/// reported, and the excess of the part's hint over the cost of its class.
+const FEATURE_COUNT: usize = 5;
+/// Index of the server's outstanding work among the features.
+const WORK_FEATURE: usize = 2;
+/// Before any outcome, a part is predicted to take this share of its class's aim. The same share of the mean
+/// aim is the time unit of the fit.
+const INITIAL_TIME_SHARE: f64 = 0.1;
+/// Half-life of what was learned, in mean aims: long enough to average out noise.
+const HALF_LIFE_AIMS: f64 = 4.0;
+/// Half-life of the fits, in mean aims, while peers report their outcomes: as fast as queues empty.
+const HALF_LIFE_WITH_PEERS_AIMS: f64 = 0.4;
+/// While peers report, the admission check adds so many spreads times the natural logarithm of the number of
+/// parts waited for: the slowest part determines the answer's time.
+const SPREADS_PER_LN_PARTS: f64 = 0.1;
+/// Factor on the prior's weight for the cost feature: the cost is a time as well and hardly distinguishable
+/// from the intercept.
+const COST_PRIOR_FACTOR: f64 = 10.0;
+/// Weight of a prior, in outcomes. The prior of a server's own fit is the pooled fit.
+const PRIOR_OUTCOMES: f64 = 3.0;
+/// Relative spread of part times before any is known: they are long-tailed, but well under the mean.
+const INITIAL_SPREAD: f64 = 0.5;
+/// Relative errors are capped here, so that one stall counts once, and not as its square.
+const MAX_RELATIVE_ERROR: f64 = 2.0;
+/// No part is predicted to take less than this share of its class's initial prediction, whatever the fit
+/// says.
+const MIN_TIME_SHARE: f64 = 0.2;
+/// Number of samples over which the moving means of a class's cost and hints are taken.
+const MEAN_SAMPLES: f64 = 30.0;
+/// Spreads that the admission check adds to the fit: about two in three parts take less.
+const ADMISSION_SPREADS: f64 = 0.6;
+/// An attempt is overdue at so many spreads above the fit: few attempts at healthy servers are.
 const OVERDUE_SPREADS: f64 = 2.5;
-/// A silent server is left after this share of the aim, at so many tries, for this share of the time left.
-const SILENT: [f64; 3] = [0.5, 1.2, 0.5];
-/// Own calls out at the home replica up to which it is kept: one in work, as servers work on several.
-const HOME_CALLS: usize = 1;
-/// The home replica is left too when its prediction is so many times the best one.
-const HOME_RATIO: f64 = 1.5;
-/// Ranking charges a zone crossing so many times its price in predicted time.
-const CROSSING_WEIGHT: f64 = 5.0;
-/// Ranking credits a shared call with so many times the work it saves.
-const SHARING_WEIGHT: f64 = 4.0;
-/// Replies go out so many ticks before the aim or the client's end: rounds and the way back.
-const MARGIN_TICKS: u32 = 3;
-/// Open queries are looked at every so many ticks.
-const LOOK_TICKS: u32 = 2;
-/// Connections idle for this share of the mean aim are closed before the next send ...
-const IDLE_SHARE: f64 = 0.25;
-/// ... while fewer fresh ones end badly than kept ones: shares of late, that start and fade back to these.
-const BAD_ENDS: [f64; 2] = [0.25, 0.1];
-/// Weight of each end in these shares: two failures in a row tell.
-const END_WEIGHT: f64 = 0.1;
+/// An attempt is withdrawn from a silent server after this share of its class's aim at the earliest, ...
+const SILENT_AIM_SHARE: f64 = 0.5;
+/// ... if the server's expected tries per served part are at least so many, ...
+const SILENT_MIN_TRIES: f64 = 1.2;
+/// ... and another replica is predicted to serve the part within this share of the time left.
+const SILENT_RETRY_SHARE: f64 = 0.5;
+/// Outstanding calls of this front node up to which the home replica is kept: one, as servers work on several
+/// at once.
+const MAX_HOME_CALLS: usize = 1;
+/// The home replica is also left when its score is over so many times the best one. A draining server's score
+/// is raised by this share.
+const MAX_HOME_RATIO: f64 = 1.5;
+/// Factor on the price of crossing zones, when candidates are ranked by predicted time.
+const CROSS_ZONE_WEIGHT: f64 = 5.0;
+/// Factor on the work saved by sharing a call, when candidates are ranked.
+const SHARED_CALL_WEIGHT: f64 = 4.0;
+/// Replies are sent so many ticks before the aim or the client's deadline, for the interval between steps and
+/// the way back.
+const REPLY_MARGIN_TICKS: u32 = 3;
+/// Open queries are reviewed every so many ticks.
+const REVIEW_INTERVAL_TICKS: u32 = 2;
+/// Connections idle for this share of the mean aim are closed before the next send, if attempts on new
+/// connections fail less often than those on reused ones.
+const IDLE_AIM_SHARE: f64 = 0.25;
+/// Initial failure rate of attempts on connections that were idle for long; the learned rate decays to it.
+const INITIAL_REUSED_FAILURE_RATE: f64 = 0.25;
+/// Initial failure rate of attempts on new connections; the learned rate decays to it.
+const INITIAL_NEW_FAILURE_RATE: f64 = 0.1;
+/// Weight of each outcome in these rates: two failures in a row make a difference.
+const FAILURE_RATE_WEIGHT: f64 = 0.1;
 /// A refused client is asked to stay away for this share of its class's aim.
 pub(crate) const HOLD_OFF_SHARE: f64 = 0.15;
-/// A part's share of the time left shrinks with this power of its worth per work; harder where others tell.
-const WORTH_POWER: [f64; 2] = [0.35, 0.5];
-/// Least such share, so that an idle server serves anything, and most: where the fit without spread passes.
-const PATIENCE: [f64; 2] = [0.25, 2.0];
-/// Of the calls that push a cold server over in the mean, lots send it so many: by chance it gets some more.
-const LOTS_SHARE: f64 = 0.6;
-/// Quotas are counted over so many mean aims: as long as bursts that still are within a share.
+/// Exponent of a part's worth per work, relative to the mean, in its share of the time left.
+const WORTH_EXPONENT: f64 = 0.35;
+/// The same while peers report their outcomes.
+const WORTH_EXPONENT_WITH_PEERS: f64 = 0.5;
+/// Lower bound of that share, so that an idle server serves any part.
+const MIN_ALLOWED_SHARE: f64 = 0.25;
+/// Upper bound of that share: there the fit without its spread passes the admission check.
+const MAX_ALLOWED_SHARE: f64 = 2.0;
+/// Share of the calls that would overload a cold server on average which random selection sends to it: by
+/// chance it receives more than that at times.
+const COLD_SELECTION_SHARE: f64 = 0.6;
+/// Capacity of a tenant's quota bucket, in mean aims at its rate: as long as bursts that stay within a share.
 const QUOTA_AIMS: f64 = 2.0;
-/// For rounding.
+/// Tolerance for rounding errors in sums of weights, and lower bound of divisors.
 const EPSILON: f64 = 5e-5;
 
-type Features = SVector<f64, FEATURES>;
-/// Weights before any outcome: the cost, and half of the work out, as servers do two parts at once.
-const START_WEIGHTS: Features = Features::new(0.0, 1.0, 0.5, 0.0, 0.0);
+type Features = SVector<f64, FEATURE_COUNT>;
+/// Weights before any outcome: the cost, and half of the outstanding work, as servers do two parts at once.
+const INITIAL_WEIGHTS: Features = Features::new(0.0, 1.0, 0.5, 0.0, 0.0);
 
-/// Least squares with forgetting, kept as sums that fade when they are next looked at.
+/// Regularised least squares with exponential forgetting. The sums are decayed at each refit.
 #[derive(Clone, Default)]
 struct Fit {
-    a: SMatrix<f64, FEATURES, FEATURES>,
-    b: Features,
+    /// Sum of the outer products of features.
+    products: SMatrix<f64, FEATURE_COUNT, FEATURE_COUNT>,
+    /// Sum of the features times the time taken.
+    targets: Features,
+    /// Decayed count of outcomes.
     count: f64,
-    /// To when the sums are faded.
-    faded: Time,
-    /// Sum of relative errors, cut off, so that a stall here and there doesn't swamp it.
+    /// Until when the sums are decayed.
+    decayed_at: Time,
+    /// Decayed sum of absolute relative errors, each capped, so that single stalls don't dominate it.
     errors: f64,
     weights: Features,
+    /// Mean absolute relative error.
     spread: f64,
 }
 
 impl Fit {
     fn learn(&mut self, x: &Features, y: f64, error: f64) {
-        self.a += x * x.transpose();
-        self.b += x * y;
+        self.products += x * x.transpose();
+        self.targets += x * y;
         self.count += 1.0;
         self.errors += error.abs();
     }
 
-    /// Fades what was learned, and refits with `prior` and its spread counted as a few outcomes.
+    /// Decays the sums to `now`, and solves for the weights with `prior` and its spread as regularisation.
+    /// `half_life` is in seconds.
     fn refit(&mut self, now: Time, half_life: f64, prior: &Features, spread: f64) {
-        let keep = 0.5_f64.powf(now.since(self.faded).as_secs_f64() / half_life);
-        self.faded = now;
-        self.a *= keep;
-        self.b *= keep;
-        self.count *= keep;
-        self.errors *= keep;
-        let hold = Features::new(1.0, COST_HOLD, 1.0, 1.0, 1.0) * POOL_WEIGHT;
-        let a = self.a + SMatrix::from_diagonal(&hold);
-        let b = self.b + hold.component_mul(prior);
+        let retained = 0.5_f64.powf(now.since(self.decayed_at).as_secs_f64() / half_life);
+        self.decayed_at = now;
+        self.products *= retained;
+        self.targets *= retained;
+        self.count *= retained;
+        self.errors *= retained;
+        let ridge = Features::new(1.0, COST_PRIOR_FACTOR, 1.0, 1.0, 1.0) * PRIOR_OUTCOMES;
+        let a = self.products + SMatrix::from_diagonal(&ridge);
+        let b = self.targets + ridge.component_mul(prior);
         self.weights = a.cholesky().map_or(*prior, |a| a.solve(&b));
-        // More work never makes a part faster: a fit that says so has seen too little.
-        self.weights.iter_mut().skip(2).for_each(|w| *w = w.max(0.0));
-        self.spread = (self.errors + POOL_WEIGHT * spread) / (self.count + POOL_WEIGHT);
+        // More work never makes a part faster: a fit that says so has too few samples.
+        self.weights.iter_mut().skip(WORK_FEATURE).for_each(|w| *w = w.max(0.0));
+        self.spread = (self.errors + PRIOR_OUTCOMES * spread) / (self.count + PRIOR_OUTCOMES);
     }
 }
 
@@ -121,52 +152,65 @@
 struct Server {
     listed: Listed,
     fit: Fit,
-    /// What its last attempts took at the least, in units, fading: a bound as the age of one out is.
-    bound: f64,
-    /// Its last reported load, fading with the mean aim.
-    report: f64,
-    /// Faded counts of attempts that failed or were overdue, and of good ones.
-    bad: f64,
-    good: f64,
-    /// When something was last sent there, or told of it.
+    /// Decaying lower bound of its part times, in units, from attempts that ended unserved.
+    min_time: f64,
+    /// The load it last reported, decaying with the mean aim.
+    load: f64,
+    /// Decayed count of attempts that failed or were overdue.
+    failures: f64,
+    /// Decayed count of served attempts.
+    successes: f64,
+    /// When something was last sent to it, or a peer last reported on it.
     last_sent: Time,
     /// When a connection to it was last lost.
-    lost: Time,
+    connection_lost: Time,
     /// When it last answered anything.
-    heard: Time,
-    /// When its connections last carried an attempt that was answered, or a send.
-    last_used: Time,
+    last_answer: Time,
+    /// When its connections last carried a send or an attempt that was answered; zero if they may be dead.
+    connections_used: Time,
     /// Work sent while cold, in seconds.
     cold_sends: VecDeque<(Time, f64)>,
 }
 
-/// What this front node has out at a server.
+/// What this front node has outstanding at a server.
 #[derive(Clone, Default)]
-struct Out {
+struct Outstanding {
     calls: BTreeSet<u64>,
     /// Its work in units.
     work: f64,
-    /// Age of the oldest overdue attempt, in units: a lower bound on what the server takes now.
+    /// Age of the oldest overdue attempt, in units: a lower bound of the server's present time.
     overdue: f64,
 }
 
-/// An attempt that is out.
+/// What a step has planned for or sent to a server.
+#[derive(Clone, Copy, Default)]
+struct Planned {
+    parts: u32,
+    /// Work of the parts and of their calls, in units.
+    work: f64,
+}
+
+/// An outstanding attempt.
 #[derive(Default)]
 struct Attempt {
     query: QueryNumber,
     server: ServerId,
     class: usize,
     sent: Time,
+    /// Identifies the call that it shares with other attempts.
     call: u64,
-    x: Features,
+    features: Features,
+    /// Its work in units.
     work: f64,
+    /// Predicted time in units.
     expected: f64,
-    due: f64,
+    /// Age in units from which it is overdue.
+    overdue_after: f64,
     overdue: bool,
-    /// Sent where the connection had long been idle: whether on a fresh one.
-    fresh: Option<bool>,
+    /// Whether it uses a new connection; none if the last one was not idle for long.
+    on_new_connection: Option<bool>,
     /// No longer waited for.
-    left: bool,
+    abandoned: bool,
 }
 
 #[derive(Default)]
@@ -174,16 +218,19 @@
     id: PartId,
     shard: ShardId,
     weight: f64,
-    /// Share by which its hint is above its class's mean, or below.
-    hint: f64,
+    /// Relative excess of its hint over the mean hint of its class; negative below it.
+    hint_excess: f64,
     attempts: u32,
-    live: Vec<u32>,
+    /// Numbers of its outstanding attempts.
+    outstanding: Vec<u32>,
     served: bool,
+    /// Servers that it was sent to.
     tried: Vec<ServerId>,
-    /// Whether it was taken back from a silent server, and why it is not out.
-    silent: bool,
+    /// Whether it was withdrawn from a silent server.
+    withdrawn: bool,
+    /// Why it is not outstanding.
     missing: Missing,
-    /// When the first attempt that may have run was sent.
+    /// When the first of its ended attempts that may have run was sent.
     may_have_run: Option<Time>,
 }
 
@@ -194,99 +241,155 @@
     class: usize,
     /// Worth of a whole answer, by class and tenant.
     worth: f64,
-    hash: u64,
+    /// Hash of its key, which determines its home replicas.
+    key_hash: u64,
     aim_at: Time,
     ends_at: Time,
     parts: Vec<PartState>,
-    /// Weight of its parts that makes its step whole, and the least that may be answered.
+    /// Weight of the parts that makes its step whole.
     need: f64,
+    /// Least weight of the parts that may be answered.
     floor: f64,
     second_step: bool,
-    first_partial: bool,
+    /// Whether its first step was answered from less than a whole.
+    first_step_partial: bool,
 }
 
+/// What was learned of a class.
 #[derive(Clone, Default)]
 struct ClassState {
     /// Least time that is predicted for a part, in units.
-    least: f64,
-    /// Learned cost of a part in units, and how many outcomes taught it.
+    min_time: f64,
+    /// Mean time of a part on an idle server, in units.
     cost: f64,
-    count: f64,
-    /// Faded count of parts asked.
-    asked: f64,
-    /// Mean of its parts' hints of late, in seconds, and how many taught it.
-    hint: (f64, f64),
-    /// Time left that most tries come with, by majority vote.
-    usual: Duration,
-    votes: u8,
+    cost_samples: f64,
+    /// Decayed count of requested parts.
+    requested: f64,
+    /// Moving mean of its parts' hints, in seconds.
+    hint_mean: f64,
+    hint_samples: f64,
+    /// Time left that most tries arrive with, by majority vote.
+    usual_time_left: Duration,
+    /// Votes of that majority vote.
+    usual_votes: u8,
+}
+
+/// A tenant's quota at this front node: a leaky bucket.
+#[derive(Clone, Copy)]
+struct Quota {
+    /// Queries a second.
+    rate: f64,
+    /// Recent queries within the quota, draining at that rate.
+    used: f64,
 }
 
-enum Fate {
-    Open,
+/// Recent failure rates of attempts to servers whose connections were idle for long.
+#[derive(Clone, Copy, Default)]
+struct FailureRates {
+    reused: f64,
+    new: f64,
+}
+
+/// Decayed counts of the parts whose shards a cell is the first to hold.
+#[derive(Clone, Copy, Default)]
+struct CellDemand {
+    requested: f64,
+    sent: f64,
+}
+
+/// What is decided on a query in a step.
+enum QueryDecision {
+    KeepOpen,
     Answer { whole: bool, cause: Cause },
     GiveUp(Cause),
 }
 
+/// Order of the replicas of a part; the greatest is the home replica.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct HomeRank {
+    /// Whether random selection sends the part to this cold server.
+    selected: bool,
+    same_zone: bool,
+    hash: u64,
+}
+
 /// A replica that may take a part.
 struct Candidate {
     server: ServerId,
     /// Upper estimate of the part's time there, in units.
-    upper: f64,
-    /// Whether the part was there before.
+    upper_estimate: f64,
+    /// Whether the part was sent there before.
     tried: bool,
+    /// Predicted time weighted for ranking; lower is better.
     score: f64,
-    home: (bool, bool, u64),
+    home_rank: HomeRank,
+    /// Outstanding calls of this front node that the part would not share.
     calls: usize,
-    doubt: f64,
-    why: Option<Choice>,
+    /// Factor in the score for the server's recent failures.
+    failure_factor: f64,
+    choice: Option<Choice>,
 }
 
-/// Decides for one front node. See the crate's page for how to drive it.
-pub struct Router(Node);
+/// Whether a server may take a part, as far as it is cold.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ColdAdmission {
+    Refused,
+    Allowed,
+    /// Allowed by random selection: the part is to go there.
+    Selected,
+}
+
+/// Decides for one front node. See the crate's documentation for how to drive it.
+pub struct Router(RouterState);
 
-/// What a front node knows and has under way.
+/// What a front node knows, and its open queries and attempts.
 #[derive(Default)]
-struct Node {
+struct RouterState {
     settings: Settings,
     now: Time,
-    /// The unit of the fit, in seconds.
+    /// Time unit of the fit, in seconds.
     unit: f64,
+    /// Mean aim of the classes, in seconds.
     mean_aim: f64,
+    /// Half-life of all that is learned but the fits, in seconds.
     half_life: f64,
-    /// When another front node last told of anything.
-    told: Option<Time>,
-    shortest: f64,
-    longest: Duration,
-    margin: Duration,
+    /// When a peer (another front node) last reported an outcome.
+    last_peer_report: Option<Time>,
+    /// Shortest aim of any class, in units.
+    shortest_aim: f64,
+    longest_deadline: Duration,
+    /// Time by which replies are sent early.
+    reply_margin: Duration,
     servers: BTreeMap<ServerId, Server>,
     hand_over: snapshot::HandOver,
-    /// Servers by cell.
-    cells: BTreeMap<u32, Vec<ServerId>>,
-    pool: Fit,
+    servers_by_cell: BTreeMap<u32, Vec<ServerId>>,
+    /// The fit over the outcomes of all servers.
+    pooled_fit: Fit,
     classes: Vec<ClassState>,
     queries: BTreeMap<QueryNumber, QueryState>,
     attempts: BTreeMap<(PartId, u32), Attempt>,
-    out: BTreeMap<ServerId, Out>,
-    /// Requests taken and further attempts made within the budget's window.
-    taken: VecDeque<Time>,
-    further: VecDeque<Time>,
-    /// Parts planned or sent this step, and their work, by server.
-    planned: BTreeMap<ServerId, (u32, f64)>,
-    /// Attempts sent this step.
-    fresh: Vec<(PartId, u32)>,
-    /// For each tenant its quota here, and the queries within it lately, draining at that rate.
-    quotas: Vec<(f64, f64)>,
-    /// Shares of bad ends of late, of attempts on connections long idle and of those on fresh ones instead.
-    ends: [f64; 2],
-    /// Faded worth of what was asked.
-    asked: f64,
-    /// Faded counts of parts asked and sent, by the first cell that holds them.
-    cells_asked: Vec<[f64; 2]>,
-    born: Time,
+    outstanding: BTreeMap<ServerId, Outstanding>,
+    /// When the queries and parts within the budget's window were accepted.
+    accepted: VecDeque<Time>,
+    /// When the further attempts (retries) within the budget's window were sent.
+    retries: VecDeque<Time>,
+    /// What was planned or sent in this step, by server.
+    planned: BTreeMap<ServerId, Planned>,
+    /// Attempts sent in this step.
+    sent_in_step: Vec<(PartId, u32)>,
+    /// By tenant.
+    quotas: Vec<Quota>,
+    failure_rates: FailureRates,
+    /// Decayed worth of the requested queries.
+    worth_requested: f64,
+    /// By cell.
+    cell_demand: Vec<CellDemand>,
+    first_step_at: Time,
     steps: u64,
     timer_at: Option<Time>,
+    /// When to subscribe to the list of servers.
     watch_at: Option<Time>,
-    /// Spreads homes differently at each front node where queries carry no key.
+    /// Gives queries without a key different home replicas at each front node.
     seed: u64,
 }
 
@@ -295,131 +398,153 @@
     ///
     /// # Errors
     ///
-    /// Names the first field of the settings that cannot be true.
+    /// Names the first invalid field of the settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let aims = settings.classes.iter().map(|c| c.aim.as_secs_f64());
         let mean_aim = aims.clone().sum::<f64>() / settings.classes.len() as f64;
-        let start = |c: &Class| c.aim.as_secs_f64() / mean_aim;
-        let class = |c| ClassState { least: LEAST_TIME * start(c), cost: start(c), ..ClassState::default() };
-        let quota = |t: &Tenant| (t.quota_per_second / f64::from(settings.front_nodes), 0.0);
-        Ok(Router(Node {
-            unit: mean_aim * START_SHARE,
+        let initial_time = |c: &Class| c.aim.as_secs_f64() / mean_aim;
+        let class = |c| ClassState {
+            min_time: MIN_TIME_SHARE * initial_time(c),
+            cost: initial_time(c),
+            ..ClassState::default()
+        };
+        let quota =
+            |t: &Tenant| Quota { rate: t.quota_per_second / f64::from(settings.front_nodes), used: 0.0 };
+        Ok(Router(RouterState {
+            unit: mean_aim * INITIAL_TIME_SHARE,
             mean_aim,
-            half_life: HALF_LIFE_AIMS[0] * mean_aim,
-            shortest: aims.fold(f64::MAX, f64::min) / (mean_aim * START_SHARE),
-            margin: settings.tick.saturating_mul(MARGIN_TICKS),
-            longest: settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default(),
+            half_life: HALF_LIFE_AIMS * mean_aim,
+            shortest_aim: aims.fold(f64::MAX, f64::min) / (mean_aim * INITIAL_TIME_SHARE),
+            reply_margin: settings.tick.saturating_mul(REPLY_MARGIN_TICKS),
+            longest_deadline: settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default(),
             classes: settings.classes.iter().map(class).collect(),
             quotas: settings.tenants.iter().map(quota).collect(),
             watch_at: settings.list_on_request.then_some(Time(0)),
-            ends: BAD_ENDS,
-            cells_asked: vec![[0.0; 2]; settings.cells as usize],
+            failure_rates: FailureRates {
+                reused: INITIAL_REUSED_FAILURE_RATE,
+                new: INITIAL_NEW_FAILURE_RATE,
+            },
+            cell_demand: vec![CellDemand::default(); settings.cells as usize],
             seed,
             settings,
-            ..Node::default()
+            ..RouterState::default()
         }))
     }
 
-    /// Takes in what happened since the last step and says what to do now.
+    /// Processes the events since the last step and appends the actions to take now to `actions`.
     pub fn step(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
-        let node = &mut self.0;
-        let elapsed = now.since(node.now).as_secs_f64();
-        node.now = node.now.max(now);
-        node.born = if node.steps == 0 { now } else { node.born };
-        node.planned.clear();
-        node.steps += 1;
-        node.age(elapsed);
-        events.iter().for_each(|event| node.take(event, actions));
-        node.survey();
-        let open: Vec<QueryNumber> = node.queries.keys().copied().collect();
-        open.into_iter().for_each(|number| node.advance(number, actions));
-        node.share_features();
-        node.keep_watch(actions);
+        let state = &mut self.0;
+        let elapsed = now.since(state.now).as_secs_f64();
+        state.now = state.now.max(now);
+        state.first_step_at = if state.steps == 0 { now } else { state.first_step_at };
+        state.planned.clear();
+        state.steps += 1;
+        state.decay(elapsed);
+        events.iter().for_each(|event| state.handle_event(event, actions));
+        state.update_outstanding();
+        let open: Vec<QueryNumber> = state.queries.keys().copied().collect();
+        open.into_iter().for_each(|number| state.advance_query(number, actions));
+        state.update_sent_features();
+        state.schedule_wakeups(actions);
     }
 }
 
-impl Node {
-    fn take(&mut self, event: &Event, actions: &mut Vec<Action>) {
+impl RouterState {
+    fn handle_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Query(query) => self.take_query(query),
-            Event::Part(part) => self.take_part(part),
+            Event::Query(query) => self.accept_query(query),
+            Event::Part(part) => self.accept_part(part),
             Event::Outcome { part, attempt, verdict, took, load } => {
-                self.take_outcome(*part, *attempt, *verdict, *took, load);
+                self.handle_outcome(*part, *attempt, *verdict, *took, load);
             }
             Event::ClientGone(id) => {
                 let number = self.queries.iter().find(|(_, q)| q.id == *id).map(|(n, _)| *n);
                 if let Some(mut query) = number.and_then(|n| self.queries.remove(&n)) {
-                    self.cancel_all(&mut query, actions);
+                    self.cancel_attempts(&mut query, actions);
                 }
             }
             Event::Servers(list) => {
                 let listed: BTreeSet<ServerId> = list.iter().map(|l| l.server).collect();
                 self.servers.retain(|id, _| listed.contains(id));
-                self.take_list(list);
+                self.update_servers(list);
             }
-            Event::ServersChanged(list) => self.take_list(list),
+            Event::ServersChanged(list) => self.update_servers(list),
             Event::ServersFailed if self.settings.list_on_request => {
                 self.watch_at = Some(self.now.after(Duration::from_secs_f64(self.mean_aim)));
             }
             Event::Told { server, class, verdict, took } => {
-                self.hear(*server, *class, *verdict, took.as_secs_f64() / self.unit);
+                self.handle_peer_report(*server, *class, *verdict, took.as_secs_f64() / self.unit);
             }
             Event::Timer(_) | Event::ServersFailed | Event::Probed { .. } => {}
         }
     }
 
-    fn take_query(&mut self, query: &Query) {
-        self.taken.push_back(self.now);
+    fn accept_query(&mut self, query: &Query) {
+        self.accepted.push_back(self.now);
         let Some(class) = self.settings.classes.get(query.class) else { return };
-        // Beyond its tenant's share a query is worth little. Each front node takes an even part of the quota.
-        let (bucket, room) = (self.quotas.get_mut(query.tenant), QUOTA_AIMS * self.mean_aim);
-        let over = bucket.as_ref().is_some_and(|(rate, used)| *used + 1.0 > (rate * room).max(1.0));
-        if let Some((_, used)) = bucket.filter(|_| !over) {
-            *used += 1.0;
+        // Beyond its tenant's share a query is worth little. Each front node has an even part of the quota.
+        let (quota, period) = (self.quotas.get_mut(query.tenant), QUOTA_AIMS * self.mean_aim);
+        let over = quota.as_ref().is_some_and(|quota| quota.used + 1.0 > (quota.rate * period).max(1.0));
+        if let Some(quota) = quota.filter(|_| !over) {
+            quota.used += 1.0;
         }
         let worth = class.worth * if over { self.settings.over_share_worth } else { 1.0 };
-        // First tries of a class come with the same time left; less or more than that is what remained to a
-        // client, from whose first try the aim counts. Hurts clients that are impatient by nature.
-        let memory = &mut self.classes[query.class];
-        let alike = query.left.abs_diff(memory.usual) <= self.margin;
-        memory.votes = if alike { memory.votes.saturating_add(1) } else { memory.votes.saturating_sub(1) };
-        memory.usual = if memory.votes == 0 { query.left } else { memory.usual };
-        let odd = !alike && query.left != memory.usual && !self.settings.repeats_marked;
-        let again = query.repeated || odd;
-        let waited = if again { class.deadline.saturating_sub(query.left) } else { Duration::ZERO };
+        // Where repeats are not marked, a try with another time left than most of its class is taken for a
+        // client's repeat, and the aim counts from its first try. Clients whose own time limits differ are
+        // mistaken for repeats.
+        let learned = &mut self.classes[query.class];
+        let alike = query.left.abs_diff(learned.usual_time_left) <= self.reply_margin;
+        learned.usual_votes =
+            if alike { learned.usual_votes.saturating_add(1) } else { learned.usual_votes.saturating_sub(1) };
+        learned.usual_time_left = if learned.usual_votes == 0 { query.left } else { learned.usual_time_left };
+        let unusual = !alike && query.left != learned.usual_time_left && !self.settings.repeats_marked;
+        let repeated = query.repeated || unusual;
+        let elapsed = if repeated { class.deadline.saturating_sub(query.left) } else { Duration::ZERO };
         let state = QueryState {
             id: query.id,
             number: query.number,
             class: query.class,
             worth,
-            hash: mix(query.key.unwrap_or(query.id.0 ^ self.seed)),
-            aim_at: self.now.before(waited).after(class.aim),
+            key_hash: mix(query.key.unwrap_or(query.id.0 ^ self.seed)),
+            aim_at: self.now.before(elapsed).after(class.aim),
             ends_at: self.now.after(query.left),
             ..QueryState::default()
         };
         self.queries.insert(query.number, state);
     }
 
-    fn take_part(&mut self, part: &Part) {
-        self.taken.push_back(self.now);
+    fn accept_part(&mut self, part: &Part) {
+        self.accepted.push_back(self.now);
         let Some(query) = self.queries.get_mut(&part.query) else { return };
         let first = query.parts.is_empty() && !query.second_step;
-        self.asked += f64::from(u8::from(first)) * query.worth;
+        self.worth_requested += f64::from(u8::from(first)) * query.worth;
         let class = &mut self.classes[query.class];
-        class.asked += 1.0;
-        self.cells_asked[(part.shard.0 % self.settings.cells) as usize][0] += 1.0;
-        // A guess that is wild teaches no more than one that is far off, and none at all is as the mean.
-        let hint = part.hint.map_or(class.hint.0, |hint| hint.as_secs_f64());
-        let most = if class.hint.1 > 0.0 { class.hint.0 * (1.0 + MAX_ERROR) } else { self.mean_aim };
-        class.hint.1 += f64::from(u8::from(part.hint.is_some()));
-        class.hint.0 += (hint.min(most) - class.hint.0) / class.hint.1.clamp(1.0, COST_MEMORY);
-        let hint = if class.hint.0 > 0.0 { hint.min(most) / class.hint.0 - 1.0 } else { 0.0 };
+        class.requested += 1.0;
+        self.cell_demand[(part.shard.0 % self.settings.cells) as usize].requested += 1.0;
+        // A hint far above the mean is capped, and a missing one counts as the mean.
+        let hint = part.hint.map_or(class.hint_mean, |hint| hint.as_secs_f64());
+        let max_hint = if class.hint_samples > 0.0 {
+            class.hint_mean * (1.0 + MAX_RELATIVE_ERROR)
+        } else {
+            self.mean_aim
+        };
+        class.hint_samples += f64::from(u8::from(part.hint.is_some()));
+        class.hint_mean +=
+            (hint.min(max_hint) - class.hint_mean) / class.hint_samples.clamp(1.0, MEAN_SAMPLES);
+        let hint_excess =
+            if class.hint_mean > 0.0 { hint.min(max_hint) / class.hint_mean - 1.0 } else { 0.0 };
         let weight = part.weight.max(0.0);
-        query.parts.push(PartState { id: part.id, shard: part.shard, weight, hint, ..PartState::default() });
+        query.parts.push(PartState {
+            id: part.id,
+            shard: part.shard,
+            weight,
+            hint_excess,
+            ..PartState::default()
+        });
     }
 
-    fn take_list(&mut self, list: &[Listed]) {
+    fn update_servers(&mut self, list: &[Listed]) {
         for listed in list {
             let listed = Listed { cell: listed.cell % self.settings.cells, ..listed.clone() };
             let known = self.servers.get_mut(&listed.server).map(|server| &mut server.listed);
@@ -429,206 +554,232 @@
                 let until = if known.state == listed.state { known.until } else { listed.until };
                 *known = Listed { until, ..listed };
             } else {
-                // A restart resets the fit: the process that comes back has nothing of the old one's trouble.
+                // A restart resets the fit: the new process does not share the old one's faults.
                 self.servers.insert(listed.server, self.hand_over.server(listed));
             }
         }
-        self.cells.clear();
+        self.servers_by_cell.clear();
         for (id, server) in &self.servers {
-            self.cells.entry(server.listed.cell).or_default().push(*id);
+            self.servers_by_cell.entry(server.listed.cell).or_default().push(*id);
         }
     }
 
-    fn take_outcome(&mut self, id: PartId, number: u32, verdict: Verdict, took: Duration, load: &LoadReport) {
+    fn handle_outcome(
+        &mut self,
+        id: PartId,
+        number: u32,
+        verdict: Verdict,
+        took: Duration,
+        load: &LoadReport,
+    ) {
         let Some(attempt) = self.attempts.remove(&(id, number)) else { return };
-        self.refresh(attempt.server);
+        self.refresh_server(attempt.server);
         self.learn(&attempt, verdict, took.as_secs_f64() / self.unit, load);
         let parts = self.queries.get_mut(&attempt.query).map(|q| q.parts.iter_mut());
         let Some(part) = parts.into_iter().flatten().find(|p| p.id == id) else { return };
-        part.live.retain(|&n| n != number);
+        part.outstanding.retain(|&n| n != number);
         part.served |= verdict == Verdict::Served;
-        part.silent |= attempt.left;
+        part.withdrawn |= attempt.abandoned;
         if !verdict.never_ran() {
             part.may_have_run = part.may_have_run.into_iter().chain([attempt.sent]).min();
         }
     }
 
-    /// Share that is left of what was learned after a time.
-    fn keep(&self, elapsed: f64) -> f64 {
+    /// Share of what was learned that is retained after `elapsed` seconds.
+    fn retained(&self, elapsed: f64) -> f64 {
         0.5_f64.powf(elapsed / self.half_life)
     }
 
-    /// Whether other front nodes have told of their outcomes of late.
-    fn is_told(&self) -> bool {
-        self.told.is_some_and(|at| self.now.since(at).as_secs_f64() < self.half_life)
+    /// Whether peers have reported outcomes within the half-life.
+    fn peers_report(&self) -> bool {
+        self.last_peer_report.is_some_and(|at| self.now.since(at).as_secs_f64() < self.half_life)
     }
 
-    /// Half-life of the fits, in seconds: shorter while other front nodes tell of their outcomes.
-    fn fading(&self) -> f64 {
-        HALF_LIFE_AIMS[usize::from(self.is_told())] * self.mean_aim
+    /// Half-life of the fits, in seconds: shorter while peers report their outcomes.
+    fn fit_half_life(&self) -> f64 {
+        (if self.peers_report() { HALF_LIFE_WITH_PEERS_AIMS } else { HALF_LIFE_AIMS }) * self.mean_aim
     }
 
-    fn age(&mut self, elapsed: f64) {
-        let keep = self.keep(elapsed);
-        self.pool.refit(self.now, self.fading(), &START_WEIGHTS, START_SPREAD);
-        self.quotas.iter_mut().for_each(|(rate, used)| *used = (*used - elapsed * *rate).max(0.0));
-        self.asked *= keep;
-        self.cells_asked.iter_mut().flatten().for_each(|count| *count *= keep);
-        self.classes.iter_mut().for_each(|class| class.asked *= keep);
-        self.ends.iter_mut().zip(BAD_ENDS).for_each(|(end, start)| *end = start + (*end - start) * keep);
+    /// Decays what was learned, but for the servers, by `elapsed` seconds.
+    fn decay(&mut self, elapsed: f64) {
+        let retained = self.retained(elapsed);
+        self.pooled_fit.refit(self.now, self.fit_half_life(), &INITIAL_WEIGHTS, INITIAL_SPREAD);
+        self.quotas.iter_mut().for_each(|quota| quota.used = (quota.used - elapsed * quota.rate).max(0.0));
+        self.worth_requested *= retained;
+        for demand in &mut self.cell_demand {
+            demand.requested *= retained;
+            demand.sent *= retained;
+        }
+        self.classes.iter_mut().for_each(|class| class.requested *= retained);
+        let rates = &mut self.failure_rates;
+        for (rate, initial) in
+            [(&mut rates.reused, INITIAL_REUSED_FAILURE_RATE), (&mut rates.new, INITIAL_NEW_FAILURE_RATE)]
+        {
+            *rate = initial + (*rate - initial) * retained;
+        }
         let window = self.settings.budget.map_or(Duration::ZERO, |b| b.window);
         let start = self.now.before(window.saturating_add(self.settings.tick));
-        for times in [&mut self.taken, &mut self.further] {
+        for times in [&mut self.accepted, &mut self.retries] {
             times.drain(..times.partition_point(|&t| t < start));
         }
     }
 
-    /// Brings what is known of a server up to now.
-    fn refresh(&mut self, id: ServerId) {
-        let Some(faded) = self.servers.get(&id).map(|s| s.fit.faded) else { return };
-        let keep = self.keep(self.now.since(faded).as_secs_f64());
+    /// Decays what is known of a server to now, and refits it.
+    fn refresh_server(&mut self, id: ServerId) {
+        let Some(decayed_at) = self.servers.get(&id).map(|s| s.fit.decayed_at) else { return };
+        let retained = self.retained(self.now.since(decayed_at).as_secs_f64());
         let cold_start = self.now.before(self.settings.cold.window);
-        let fading = self.fading();
+        let fit_half_life = self.fit_half_life();
         let Some(server) = self.servers.get_mut(&id) else { return };
-        server.bad *= keep;
-        server.good *= keep;
-        server.report *= keep.powf(HALF_LIFE_AIMS[0]);
-        server.bound *= keep.powf(HALF_LIFE_AIMS[0] * 8.0 / f64::from(self.settings.front_nodes));
+        server.failures *= retained;
+        server.successes *= retained;
+        // Half-life of one mean aim.
+        server.load *= retained.powf(HALF_LIFE_AIMS);
+        // Half-life of an eighth of a mean aim for each front node.
+        server.min_time *= retained.powf(HALF_LIFE_AIMS * 8.0 / f64::from(self.settings.front_nodes));
         server.cold_sends.drain(..server.cold_sends.partition_point(|&(t, _)| t < cold_start));
-        server.fit.refit(self.now, fading, &self.pool.weights, self.pool.spread);
+        server.fit.refit(self.now, fit_half_life, &self.pooled_fit.weights, self.pooled_fit.spread);
     }
 
-    /// Served outcomes teach both fits; one unserved after more than was expected, its server's own.
+    /// Learns from the outcome of an attempt that ended after `took` units. Served attempts update both fits;
+    /// one that ended unserved after more than the expected time updates its server's fit alone.
     fn learn(&mut self, attempt: &Attempt, verdict: Verdict, took: f64, load: &LoadReport) {
-        let told = self.is_told();
+        let peers_report = self.peers_report();
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
-        // Where others tell, a server that they have not heard either is what is silent, not the connection.
+        // Where peers report and the server has answered none of them either, the server itself is silent,
+        // and not the connection.
         let silent = matches!(verdict, Verdict::Cancelled | Verdict::NoAnswer) && attempt.overdue;
-        let silent = silent && (!told || server.heard > attempt.sent);
+        let silent = silent && (!peers_report || server.last_answer > attempt.sent);
         let own = attempt.sent > Time(0);
         if own {
-            server.last_used = if silent { Time(0) } else { self.now };
+            server.connections_used = if silent { Time(0) } else { self.now };
         }
         if matches!(verdict, Verdict::Served | Verdict::Error | Verdict::TurnedAway) {
-            server.heard = self.now;
+            server.last_answer = self.now;
         }
-        if let Some(fresh) = attempt.fresh {
-            let ends = &mut self.ends[usize::from(fresh)];
-            let bad = if fresh { Verdict::NoConnection } else { Verdict::ConnectionLost };
-            *ends += (f64::from(u8::from(verdict == bad || (silent && !fresh))) - *ends) * END_WEIGHT;
+        if let Some(new) = attempt.on_new_connection {
+            let rates = &mut self.failure_rates;
+            let rate = if new { &mut rates.new } else { &mut rates.reused };
+            let failure = if new { Verdict::NoConnection } else { Verdict::ConnectionLost };
+            *rate +=
+                (f64::from(u8::from(verdict == failure || (silent && !new))) - *rate) * FAILURE_RATE_WEIGHT;
         }
         let reported = load.waiting.or(load.held).or(load.utilisation);
-        server.report = reported.filter(|v| v.is_finite()).unwrap_or(server.report);
-        let error = (took / attempt.expected - 1.0).min(MAX_ERROR);
+        server.load = reported.filter(|v| v.is_finite()).unwrap_or(server.load);
+        let error = (took / attempt.expected - 1.0).min(MAX_RELATIVE_ERROR);
         match verdict {
             Verdict::Served => {
-                server.fit.learn(&attempt.x, took, error);
-                self.pool.learn(&attempt.x, took, error);
-                server.good += 1.0;
-                server.bound = 0.0;
+                server.fit.learn(&attempt.features, took, error);
+                self.pooled_fit.learn(&attempt.features, took, error);
+                server.successes += 1.0;
+                server.min_time = 0.0;
                 if !own {
                     return;
                 }
-                // What other work out doesn't explain is the class's cost.
-                let own = took - server.fit.weights[2] * attempt.x[2];
+                // The time that other outstanding work does not explain is the class's cost.
+                let own = took - server.fit.weights[WORK_FEATURE] * attempt.features[WORK_FEATURE];
                 let class = &mut self.classes[attempt.class];
-                class.count += 1.0;
-                let own = own.max(class.least).min(class.cost * (1.0 + MAX_ERROR));
-                class.cost += (own - class.cost) / class.count.min(COST_MEMORY);
+                class.cost_samples += 1.0;
+                let own = own.max(class.min_time).min(class.cost * (1.0 + MAX_RELATIVE_ERROR));
+                class.cost += (own - class.cost) / class.cost_samples.min(MEAN_SAMPLES);
             }
             Verdict::Cancelled | Verdict::NoAnswer if error > 0.0 => {
-                server.fit.learn(&attempt.x, took, error);
-                server.bound = server.bound.max(took);
+                server.fit.learn(&attempt.features, took, error);
+                server.min_time = server.min_time.max(took);
             }
-            // Its waiting room is full: it takes an aim and more.
+            // Its queue is full: a part would take an aim and more.
             Verdict::TurnedAway => {
-                server.bound = server.bound.max(self.mean_aim / self.unit);
-                server.bad += 1.0;
+                server.min_time = server.min_time.max(self.mean_aim / self.unit);
+                server.failures += 1.0;
             }
             Verdict::Cancelled | Verdict::NoAnswer | Verdict::NotSent => {}
-            // All parts on a connection are lost with it: that tells of its server once.
-            Verdict::ConnectionLost if server.lost == self.now => {}
+            // All parts on a connection are lost with it: they count as one failure of the server.
+            Verdict::ConnectionLost if server.connection_lost == self.now => {}
             Verdict::ConnectionLost => {
-                server.lost = self.now;
-                server.bad += 1.0;
+                server.connection_lost = self.now;
+                server.failures += 1.0;
             }
-            _ => server.bad += 1.0,
+            _ => server.failures += 1.0,
         }
     }
 
-    /// Another front node's outcome teaches as an own one does, but for what tells of connections.
-    fn hear(&mut self, id: ServerId, class: usize, verdict: Verdict, took: f64) {
-        self.told = Some(self.now);
-        self.refresh(id);
+    /// Learns from a peer's outcome as from an own one, but for the state of connections.
+    fn handle_peer_report(&mut self, id: ServerId, class: usize, verdict: Verdict, took: f64) {
+        self.last_peer_report = Some(self.now);
+        self.refresh_server(id);
         let (Some(server), Some(known)) = (self.servers.get(&id), self.classes.get(class)) else { return };
-        let x = Features::new(1.0, known.cost, 0.0, server.report, 0.0);
-        let expected = server.fit.weights.dot(&x).max(known.least) / self.warmth(server);
-        let told = Attempt { server: id, class, x, expected, ..Attempt::default() };
-        self.learn(&told, verdict, took, &LoadReport::default());
+        let features = Features::new(1.0, known.cost, 0.0, server.load, 0.0);
+        let expected = server.fit.weights.dot(&features).max(known.min_time) / self.warmth(server);
+        let attempt = Attempt { server: id, class, features, expected, ..Attempt::default() };
+        self.learn(&attempt, verdict, took, &LoadReport::default());
         if let Some(server) = self.servers.get_mut(&id) {
-            // An own one is counted when it becomes overdue.
-            server.bad += f64::from(u8::from(verdict == Verdict::NoAnswer));
+            // An own attempt without an answer was counted when it became overdue.
+            server.failures += f64::from(u8::from(verdict == Verdict::NoAnswer));
             server.last_sent = self.now;
         }
     }
 
-    /// Sums up what is out at each server, and marks overdue attempts, which count once as bad ends.
-    fn survey(&mut self) {
-        self.out.clear();
-        // An outcome that never came would be kept for ever.
-        self.attempts.retain(|_, a| self.now.since(a.sent) < self.longest.saturating_mul(2));
-        for attempt in self.attempts.values_mut().filter(|a| !a.left) {
+    /// Sums up the outstanding work at each server. Marks overdue attempts, each of which counts as a failure
+    /// once.
+    fn update_outstanding(&mut self) {
+        self.outstanding.clear();
+        // Attempts whose outcome was never reported would be kept for ever.
+        self.attempts.retain(|_, a| self.now.since(a.sent) < self.longest_deadline.saturating_mul(2));
+        for attempt in self.attempts.values_mut().filter(|a| !a.abandoned) {
             let Some(server) = self.servers.get_mut(&attempt.server) else { continue };
-            let out = self.out.entry(attempt.server).or_default();
-            out.work += attempt.work;
-            out.calls.insert(attempt.call);
+            let outstanding = self.outstanding.entry(attempt.server).or_default();
+            outstanding.work += attempt.work;
+            outstanding.calls.insert(attempt.call);
             let age = self.now.since(attempt.sent).as_secs_f64() / self.unit;
-            if age > attempt.due {
-                out.overdue = out.overdue.max(age);
-                server.bad += f64::from(u8::from(!attempt.overdue));
+            if age > attempt.overdue_after {
+                outstanding.overdue = outstanding.overdue.max(age);
+                server.failures += f64::from(u8::from(!attempt.overdue));
                 attempt.overdue = true;
             }
         }
     }
 
-    /// Parts sent together slow each other: all that went to a server in this step is out beside each.
-    fn share_features(&mut self) {
-        for key in std::mem::take(&mut self.fresh) {
+    /// Sets the features and predictions of the attempts sent in this step. Parts sent together slow each
+    /// other down, so each counts all the others sent to its server in this step as outstanding.
+    fn update_sent_features(&mut self) {
+        for key in std::mem::take(&mut self.sent_in_step) {
             let server = self.attempts.get(&key).and_then(|a| self.servers.get(&a.server));
             let Some(server) = server else { continue };
-            let (warmth, work) = (self.warmth(server), self.work_at(server.listed.server));
+            let (warmth, work) = (self.warmth(server), self.outstanding_work(server.listed.server));
             let Some(attempt) = self.attempts.get_mut(&key) else { continue };
-            attempt.x[2] = (work - attempt.work).max(0.0);
-            let least = self.classes[attempt.class].least;
-            attempt.expected = server.fit.weights.dot(&attempt.x).max(least) / warmth;
-            attempt.due = attempt.expected * (1.0 + OVERDUE_SPREADS * server.fit.spread);
+            attempt.features[WORK_FEATURE] = (work - attempt.work).max(0.0);
+            let min_time = self.classes[attempt.class].min_time;
+            attempt.expected = server.fit.weights.dot(&attempt.features).max(min_time) / warmth;
+            attempt.overdue_after = attempt.expected * (1.0 + OVERDUE_SPREADS * server.fit.spread);
         }
     }
 
-    /// Seconds between outcomes of a server here: about an aim among few front nodes, several among many.
-    fn meeting(&self) -> f64 {
-        let each = self.pool.count * LN_2 / self.servers.len().max(1) as f64;
-        (self.fading() / each.max(EPSILON)).clamp(self.mean_aim, self.half_life)
+    /// Mean seconds between outcomes of one server at this front node, within a mean aim and the half-life:
+    /// about an aim with few front nodes, several with many.
+    fn outcome_interval(&self) -> f64 {
+        let per_server = self.pooled_fit.count * LN_2 / self.servers.len().max(1) as f64;
+        (self.fit_half_life() / per_server.max(EPSILON)).clamp(self.mean_aim, self.half_life)
     }
 
-    fn work_at(&self, id: ServerId) -> f64 {
-        self.out.get(&id).map_or(0.0, |out| out.work) + self.planned.get(&id).map_or(0.0, |p| p.1)
+    fn outstanding_work(&self, id: ServerId) -> f64 {
+        self.outstanding.get(&id).map_or(0.0, |out| out.work) + self.planned.get(&id).map_or(0.0, |p| p.work)
     }
 
-    fn features(&self, server: &Server, id: ServerId, class: usize, hint: f64) -> Features {
+    fn features(&self, server: &Server, id: ServerId, class: usize, hint_excess: f64) -> Features {
         let cost = self.classes[class].cost;
-        Features::new(1.0, cost, self.work_at(id), server.report, cost * hint)
+        Features::new(1.0, cost, self.outstanding_work(id), server.load, cost * hint_excess)
     }
 
-    /// The listed servers that hold a shard, by id: so the parts of a query meet where all else is equal.
+    /// The listed servers that hold a shard, by id, so that the parts of a query go to the same server where
+    /// all else is equal.
     fn holders(&self, shard: ShardId) -> Vec<ServerId> {
-        let cells = self.settings.cells_of(shard).filter_map(|cell| self.cells.get(&cell));
+        let cells = self.settings.cells_of(shard).filter_map(|cell| self.servers_by_cell.get(&cell));
         let mut holders: Vec<ServerId> = cells.flatten().copied().collect();
         holders.sort_unstable();
         holders
     }
 
-    /// Fraction of its capacity that a server has at the least, by the stated figures.
+    /// Fraction of its capacity that a server has at the least, by the settings for cold servers.
     fn warmth(&self, server: &Server) -> f64 {
         let cold = &self.settings.cold;
         let Some(started) = server.listed.started else { return 1.0 };
@@ -636,231 +787,271 @@
         (cold.from + (1.0 - cold.from) * age).min(1.0)
     }
 
-    /// Guards against pushing over a server that has just started: this front node's share of what the
-    /// figures allow on one core in a window, less while a process before it may have spent that. Where it is
-    /// under a part, or work is unknown, lots are drawn, one a part: of what warm holders take it gets its
-    /// part by its warmth, what it can do by now. Gives whether the part was drawn: it is to go there.
-    fn cold_room(&self, server: &Server, part: &PartState, class: usize, holders: usize) -> Option<bool> {
+    /// Whether a server may take a part, as far as it is cold. Guards against overloading a server that has
+    /// just started.
+    ///
+    /// This front node may send it its share of what the settings allow on one core in a window; less within
+    /// the first window of the router, as an earlier process of this front node may have spent some of that.
+    /// Where this share is less than the work of one part, or the work is unknown, each part is selected at
+    /// random, with a probability by which the server gets as much as a warm holder does times its warmth,
+    /// its present capacity.
+    fn admit_cold(&self, server: &Server, part: &PartState, class: usize, holders: usize) -> ColdAdmission {
         let (warmth, cold, id) = (self.warmth(server), &self.settings.cold, server.listed.server);
         if warmth >= 1.0 {
-            return Some(false);
+            return ColdAdmission::Allowed;
         }
-        let planned = self.planned.get(&id).map_or(0.0, |planned| planned.1);
+        let planned = self.planned.get(&id).map_or(0.0, |planned| planned.work);
         let sent = server.cold_sends.iter().map(|(_, work)| work).sum::<f64>() + planned * self.unit;
         let work = self.classes[class].cost * self.unit;
-        let (nodes, window) = (f64::from(self.settings.front_nodes), cold.window.as_secs_f64());
-        let room = cold.fall_multiple * warmth * window / nodes;
-        if room >= work && self.classes[class].count > 0.0 {
-            let lived = (self.now.since(self.born).as_secs_f64() / window).min(1.0);
-            return (sent + work <= room * lived && !self.is_held_back()).then_some(false);
+        let (front_nodes, window) = (f64::from(self.settings.front_nodes), cold.window.as_secs_f64());
+        let limit = cold.fall_multiple * warmth * window / front_nodes;
+        if limit >= work && self.classes[class].cost_samples > 0.0 {
+            let windows_up = (self.now.since(self.first_step_at).as_secs_f64() / window).min(1.0);
+            let within = sent + work <= limit * windows_up && !self.budgets_suspended();
+            return if within { ColdAdmission::Allowed } else { ColdAdmission::Refused };
         }
-        let [asked, taken] = self.cells_asked[(part.shard.0 % self.settings.cells) as usize];
-        let taken = ((taken + POOL_WEIGHT) / (asked + POOL_WEIGHT)).min(1.0);
-        let chance = (cold.fall_multiple * LOTS_SHARE).min(1.0) * warmth * taken / holders as f64;
-        let drawn = (mix(part.id.0 ^ mix(id.0 ^ self.seed)) as f64) < chance * u64::MAX as f64;
-        (drawn && !part.tried.contains(&id)).then_some(true)
+        let demand = self.cell_demand[(part.shard.0 % self.settings.cells) as usize];
+        let sent_share = ((demand.sent + PRIOR_OUTCOMES) / (demand.requested + PRIOR_OUTCOMES)).min(1.0);
+        let probability =
+            (cold.fall_multiple * COLD_SELECTION_SHARE).min(1.0) * warmth * sent_share / holders as f64;
+        let selected = (mix(part.id.0 ^ mix(id.0 ^ self.seed)) as f64) < probability * u64::MAX as f64;
+        if selected && !part.tried.contains(&id) { ColdAdmission::Selected } else { ColdAdmission::Refused }
     }
 
-    /// The replica for a part: home first, else the least busy, if it can finish within `allowed` units.
-    fn choose(&mut self, query: &QueryState, part: &PartState, allowed: f64) -> Result<Candidate, Missing> {
+    /// Chooses the replica for a part: the home replica if it is good enough, else the one with the best
+    /// score, among those predicted to finish it within `allowed` units.
+    fn choose_replica(
+        &mut self,
+        query: &QueryState,
+        part: &PartState,
+        allowed: f64,
+    ) -> Result<Candidate, Missing> {
         let holders = self.holders(part.shard);
-        holders.iter().for_each(|id| self.refresh(*id));
-        let (settings, least) = (&self.settings, self.classes[query.class].least);
-        let out = |n: &u32| self.attempts.get(&(part.id, *n)).map(|a| a.server);
-        let busy: Vec<ServerId> = part.live.iter().filter_map(out).collect();
+        holders.iter().for_each(|id| self.refresh_server(*id));
+        let (settings, min_time) = (&self.settings, self.classes[query.class].min_time);
+        let server_of = |n: &u32| self.attempts.get(&(part.id, *n)).map(|a| a.server);
+        let already_at: Vec<ServerId> = part.outstanding.iter().filter_map(server_of).collect();
         let call_cost = settings.call_cost.as_secs_f64() / self.unit;
         let mut candidates: Vec<Candidate> = Vec::new();
-        let needed = query.parts.iter().filter(|p| !p.served).count().max(1) as f64;
-        let spreads = CHECK_SPREADS + if self.is_told() { TOLD_SPREADS * needed.ln() } else { 0.0 };
-        let mut closed: Option<((bool, bool, u64), ServerId, Left)> = None;
+        let unserved = query.parts.iter().filter(|p| !p.served).count().max(1) as f64;
+        let spreads =
+            ADMISSION_SPREADS + if self.peers_report() { SPREADS_PER_LN_PARTS * unserved.ln() } else { 0.0 };
+        // The unavailable replica that ranks highest as a home, and why it is unavailable.
+        let mut unavailable: Option<(HomeRank, ServerId, Left)> = None;
         for &id in &holders {
             let Some(server) = self.servers.get(&id) else { continue };
-            let (calls, overdue) = self.out.get(&id).map_or((0, 0.0), |out| (out.calls.len(), out.overdue));
-            let planned = self.planned.get(&id).copied().unwrap_or((0, 0.0));
+            let (calls, overdue) =
+                self.outstanding.get(&id).map_or((0, 0.0), |out| (out.calls.len(), out.overdue));
+            let planned = self.planned.get(&id).copied().unwrap_or_default();
             let crosses = settings.cross_zone_price > 0.0 && server.listed.zone != settings.zone;
-            // Where calls are shared the query alone picks the home, so that neighbouring shards meet there.
+            // Where calls are shared, the home depends on the query alone, so that neighbouring shards share
+            // it.
             let shard = if settings.batch > 1 && call_cost > 0.0 { 0 } else { u64::from(part.shard.0) };
-            let room = self.cold_room(server, part, query.class, holders.len());
-            let drawn = room == Some(true);
-            let home = (drawn, !crosses, mix(query.hash ^ mix(shard ^ mix(id.0 ^ 0x5eed))));
-            // One that drains takes, for as long as the rules allow, what others would take much longer for.
+            let admission = self.admit_cold(server, part, query.class, holders.len());
+            let selected = admission == ColdAdmission::Selected;
+            let home_rank = HomeRank {
+                selected,
+                same_zone: !crosses,
+                hash: mix(query.key_hash ^ mix(shard ^ mix(id.0 ^ 0x5eed))),
+            };
+            // A draining server remains a candidate for as long as the rules allow, with a worse score.
             let up = server.listed.state == ServerState::Up;
-            let shut = match up || server.listed.until.is_some_and(|until| self.now < until) {
-                true if busy.contains(&id) => Some(Left::Tried),
-                true if room.is_some() => None,
+            let reason = match up || server.listed.until.is_some_and(|until| self.now < until) {
+                true if already_at.contains(&id) => Some(Left::Tried),
+                true if admission != ColdAdmission::Refused => None,
                 true => Some(Left::Cold),
                 false => Some(Left::Draining),
             };
-            if let Some(left) = shut {
-                closed = closed.max(Some((home, id, left)));
+            if let Some(reason) = reason {
+                unavailable = unavailable.max(Some((home_rank, id, reason)));
                 continue;
             }
-            let x = self.features(server, id, query.class, part.hint);
+            let x = self.features(server, id, query.class, part.hint_excess);
             let warmth = self.warmth(server);
-            // What goes by lot does not wait, however long the queues are elsewhere: the start value holds.
-            let start = settings.classes[query.class].aim.as_secs_f64() / self.mean_aim;
-            let fitted = if drawn { start } else { server.fit.weights.dot(&x).max(least) } / warmth;
-            let predicted = fitted.max(overdue).max(server.bound);
-            // Unsent parts teach nothing: what the check holds against a server ages while it is sent none.
-            let start = start * (1.0 + START_SPREAD);
-            let rest = self.now.since(server.last_sent).as_secs_f64() / self.meeting() - 1.0;
-            let rest = if calls == 0 { rest.max(0.0) } else { 0.0 };
-            // The time to an answer is that of all tries.
-            let excess = predicted * server.tries() * (1.0 + spreads * server.fit.spread) - start;
-            let upper = start + excess.min(0.0) + excess.max(0.0) * 0.5_f64.powf(rest);
-            let shared = planned.0 % settings.batch != 0;
-            let crossing = f64::from(u8::from(crosses)) * CROSSING_WEIGHT * settings.cross_zone_price
-                + f64::from(u8::from(!up)) * HOME_RATIO;
-            let saved = if shared { SHARING_WEIGHT * call_cost } else { 0.0 };
+            // A randomly selected cold server is charged the initial prediction, so that long queues
+            // elsewhere, which the pooled fit reflects, don't exclude it.
+            let initial_time = settings.classes[query.class].aim.as_secs_f64() / self.mean_aim;
+            let fitted =
+                if selected { initial_time } else { server.fit.weights.dot(&x).max(min_time) } / warmth;
+            let predicted = fitted.max(overdue).max(server.min_time);
+            // A server that is sent nothing teaches nothing: the excess of its estimate over the initial one
+            // decays while it is sent none.
+            let initial_estimate = initial_time * (1.0 + INITIAL_SPREAD);
+            let intervals_unused =
+                self.now.since(server.last_sent).as_secs_f64() / self.outcome_interval() - 1.0;
+            let intervals_unused = if calls == 0 { intervals_unused.max(0.0) } else { 0.0 };
+            // The time to an answer is that of all expected tries.
+            let excess =
+                predicted * server.expected_tries() * (1.0 + spreads * server.fit.spread) - initial_estimate;
+            let upper_estimate =
+                initial_estimate + excess.min(0.0) + excess.max(0.0) * 0.5_f64.powf(intervals_unused);
+            let shares_call = planned.parts % settings.batch != 0;
+            let penalty = f64::from(u8::from(crosses)) * CROSS_ZONE_WEIGHT * settings.cross_zone_price
+                + f64::from(u8::from(!up)) * MAX_HOME_RATIO;
+            let saved = if shares_call { SHARED_CALL_WEIGHT * call_cost } else { 0.0 };
             candidates.push(Candidate {
                 server: id,
-                upper,
+                upper_estimate,
                 tried: part.tried.contains(&id),
-                score: predicted * if drawn { warmth } else { 1.0 + crossing } * server.tries().powi(2)
+                score: predicted
+                    * if selected { warmth } else { 1.0 + penalty }
+                    * server.expected_tries().powi(2)
                     - saved,
-                home,
-                calls: calls + usize::from(planned.0 > 0 && !shared),
-                doubt: server.tries().powi(2),
-                why: None,
+                home_rank,
+                calls: calls + usize::from(planned.parts > 0 && !shares_call),
+                failure_factor: server.expected_tries().powi(2),
+                choice: None,
             });
         }
         candidates.sort_by(|a, b| a.tried.cmp(&b.tried).then(a.score.total_cmp(&b.score)));
         let best = candidates.first().ok_or(Missing::Closed)?.score;
-        let home = candidates.iter().enumerate().max_by_key(|(_, c)| c.home).map_or(0, |(index, _)| index);
+        let home =
+            candidates.iter().enumerate().max_by_key(|(_, c)| c.home_rank).map_or(0, |(index, _)| index);
         let c = &candidates[home];
-        let left = match c.score <= HOME_RATIO * best {
-            _ if c.tried => Some(if part.silent { Left::Silent } else { Left::Tried }),
-            _ if c.calls > HOME_CALLS => Some(Left::Busy),
+        let left = match c.score <= MAX_HOME_RATIO * best {
+            _ if c.tried => Some(if part.withdrawn { Left::Silent } else { Left::Tried }),
+            _ if c.calls > MAX_HOME_CALLS => Some(Left::Busy),
             true => None,
-            false if c.score <= HOME_RATIO * best * c.doubt => Some(Left::Doubtful),
+            false if c.score <= MAX_HOME_RATIO * best * c.failure_factor => Some(Left::Doubtful),
             false => Some(Left::Slow),
         };
-        let own = (c.server, left.unwrap_or(Left::Late));
-        let (first, left_for) = closed.filter(|shut| shut.0 > c.home).map_or(own, |(_, id, why)| (id, why));
+        let available_home = (c.server, left.unwrap_or(Left::Late));
+        let (first, left_for) = unavailable
+            .filter(|(rank, ..)| *rank > c.home_rank)
+            .map_or(available_home, |(_, id, reason)| (id, reason));
         if left.is_none() {
             candidates[..=home].rotate_right(1);
         }
-        let mut c = candidates.into_iter().find(|c| c.upper <= allowed).ok_or(Missing::Late)?;
-        let (predicted, allowed) = ((c.upper * self.unit) as f32, (allowed * self.unit) as f32);
+        let mut c = candidates.into_iter().find(|c| c.upper_estimate <= allowed).ok_or(Missing::Late)?;
+        let (predicted, allowed) = ((c.upper_estimate * self.unit) as f32, (allowed * self.unit) as f32);
         let left = (c.server != first).then_some(left_for);
-        c.why = Some(Choice { home: first, left, predicted, allowed });
+        c.choice = Some(Choice { home: first, left, predicted, allowed });
         Ok(c)
     }
 
-    fn advance(&mut self, number: QueryNumber, actions: &mut Vec<Action>) {
+    fn advance_query(&mut self, number: QueryNumber, actions: &mut Vec<Action>) {
         let Some(mut query) = self.queries.remove(&number) else { return };
-        match self.judge(&mut query, actions) {
-            Fate::Open => drop(self.queries.insert(number, query)),
-            Fate::Answer { whole, cause } => {
+        match self.decide_query(&mut query, actions) {
+            QueryDecision::KeepOpen => drop(self.queries.insert(number, query)),
+            QueryDecision::Answer { whole, cause } => {
                 actions.push(Action::Answer { query: query.id, whole, why: query.ending(cause) });
-                self.cancel_all(&mut query, actions);
+                self.cancel_attempts(&mut query, actions);
                 if self.settings.classes[query.class].follow_up > 0 && !query.second_step {
                     query.second_step = true;
-                    query.first_partial = !whole;
+                    query.first_step_partial = !whole;
                     query.parts.clear();
                     self.queries.insert(number, query);
                 }
             }
-            Fate::GiveUp(cause) => {
+            QueryDecision::GiveUp(cause) => {
                 let why = query.ending(cause);
                 let class = &self.settings.classes[query.class];
-                let ran = |p: &PartState| p.may_have_run.is_some() || !p.live.is_empty();
-                if class.effect == Effect::Safe || !query.parts.iter().any(ran) {
-                    // Past the aim another try may earn nothing: then the longer it stays away the better.
-                    let over = self.now.after(self.margin) >= query.aim_at && class.late_share == 0.0;
-                    let stay = if over { class.deadline } else { class.aim.mul_f64(HOLD_OFF_SHARE) };
-                    let (query, hold_off) = (query.id, stay.min(self.settings.max_hold_off));
+                let may_have_run = |p: &PartState| p.may_have_run.is_some() || !p.outstanding.is_empty();
+                if class.effect == Effect::Safe || !query.parts.iter().any(may_have_run) {
+                    // After the aim another try may earn nothing: the client then best stays away for long.
+                    let worthless =
+                        self.now.after(self.reply_margin) >= query.aim_at && class.late_share == 0.0;
+                    let hold_off = if worthless { class.deadline } else { class.aim.mul_f64(HOLD_OFF_SHARE) };
+                    let (query, hold_off) = (query.id, hold_off.min(self.settings.max_hold_off));
                     actions.push(Action::Refuse { query, hold_off, why });
                 } else {
                     actions.push(Action::Fail { query: query.id, why });
                 }
-                self.cancel_all(&mut query, actions);
+                self.cancel_attempts(&mut query, actions);
             }
         }
     }
 
-    /// What becomes of a query now; sends what is worth sending on the way.
-    fn judge(&mut self, query: &mut QueryState, actions: &mut Vec<Action>) -> Fate {
+    /// Decides whether a query ends now; if not, sends the parts that are worth sending.
+    fn decide_query(&mut self, query: &mut QueryState, actions: &mut Vec<Action>) -> QueryDecision {
         let class = self.settings.classes[query.class].clone();
         let need = if query.second_step { 1.0 } else { class.need };
         let floor = if class.floor < class.need { class.floor } else { need };
-        let held: f64 = query.parts.iter().filter(|p| p.served).map(|p| p.weight).sum();
-        if held >= need - EPSILON && !query.parts.is_empty() {
-            return Fate::Answer { whole: !query.first_partial, cause: Cause::Whole };
+        let served: f64 = query.parts.iter().filter(|p| p.served).map(|p| p.weight).sum();
+        if served >= need - EPSILON && !query.parts.is_empty() {
+            return QueryDecision::Answer { whole: !query.first_step_partial, cause: Cause::Whole };
         }
-        let ends_at = query.ends_at.before(self.margin);
-        let aim_at = query.aim_at.before(self.margin.saturating_add(self.settings.on_the_way)).min(ends_at);
-        let partial = held >= floor - EPSILON && floor < need && held > 0.0;
-        // After the aim all that may yet come earns the late share: what is in hand at the aim may earn more.
-        let in_hand = if partial { class.partial_worth * held / need } else { 0.0 };
-        let target = if self.now >= aim_at && class.late_share > in_hand { ends_at } else { aim_at };
+        let ends_at = query.ends_at.before(self.reply_margin);
+        let aim_at =
+            query.aim_at.before(self.reply_margin.saturating_add(self.settings.on_the_way)).min(ends_at);
+        let partial = served >= floor - EPSILON && floor < need && served > 0.0;
+        // After the aim any answer earns the late share only: a partial answer at the aim may earn more.
+        let partial_worth = if partial { class.partial_worth * served / need } else { 0.0 };
+        let target = if self.now >= aim_at && class.late_share > partial_worth { ends_at } else { aim_at };
         let first_of_two = class.follow_up > 0 && !query.second_step;
-        // A second step takes as long as an overdue part of its class on an idle server.
-        let alone = Features::new(1.0, self.classes[query.class].cost, 0.0, 0.0, 0.0);
-        let idle = self.pool.weights.dot(&alone).max(self.classes[query.class].least);
-        let reserve = if first_of_two { idle * (1.0 + OVERDUE_SPREADS * START_SPREAD) } else { 0.0 };
-        let end = |cause| if partial { Fate::Answer { whole: false, cause } } else { Fate::GiveUp(cause) };
+        // Time reserved for a second step: that of an overdue part of the class on an idle server.
+        let idle_features = Features::new(1.0, self.classes[query.class].cost, 0.0, 0.0, 0.0);
+        let idle_time = self.pooled_fit.weights.dot(&idle_features).max(self.classes[query.class].min_time);
+        let reserve = if first_of_two { idle_time * (1.0 + OVERDUE_SPREADS * INITIAL_SPREAD) } else { 0.0 };
+        let end = |cause| match partial {
+            true => QueryDecision::Answer { whole: false, cause },
+            false => QueryDecision::GiveUp(cause),
+        };
         let left = target.since(self.now).as_secs_f64() / self.unit;
         if left <= 0.0 || (partial && left <= reserve) {
             return end(Cause::TimeUp);
         }
         if query.parts.is_empty() {
-            return Fate::Open;
+            return QueryDecision::KeepOpen;
         }
         (query.need, query.floor) = (need, floor);
-        self.leave_silent(query, left - reserve, actions);
+        self.withdraw_from_silent(query, left - reserve, actions);
         let (reachable, pending) = self.send_parts(query, left - reserve, actions);
         if reachable < floor - EPSILON || !pending {
             return end(if reachable < floor - EPSILON { Cause::TooLittle } else { Cause::NothingOut });
         }
-        Fate::Open
+        QueryDecision::KeepOpen
     }
 
-    /// Sends parts that have no attempt out, if the weight that can still come in reaches the floor.
-    /// Gives that weight, and whether anything may still come.
+    /// Sends parts that have no outstanding attempt, if the reachable weight is at least the floor. Parts are
+    /// planned within `allowed` units. Returns the reachable weight, that of the parts served, outstanding or
+    /// planned, and whether any part may still be served.
     fn send_parts(&mut self, query: &mut QueryState, allowed: f64, actions: &mut Vec<Action>) -> (f64, bool) {
-        let (mut held, mut out) = (0.0, 0.0);
-        let mut waiting: Vec<usize> = Vec::new();
+        let (mut served, mut outstanding) = (0.0, 0.0);
+        let mut unsent: Vec<usize> = Vec::new();
         for index in 0..query.parts.len() {
             let part = &query.parts[index];
             if part.served {
-                held += part.weight;
-            } else if !part.live.is_empty() {
-                out += part.weight;
-            } else if part.attempts < self.settings.max_attempts && self.may_repeat(query, part) {
-                waiting.push(index);
+                served += part.weight;
+            } else if !part.outstanding.is_empty() {
+                outstanding += part.weight;
+            } else if part.attempts < self.settings.max_attempts && self.may_resend(query, part) {
+                unsent.push(index);
             } else {
                 let spent = part.attempts >= self.settings.max_attempts;
                 query.parts[index].missing = if spent { Missing::Spent } else { Missing::Risk };
             }
         }
-        waiting.sort_by(|&a, &b| query.parts[b].weight.total_cmp(&query.parts[a].weight));
-        let saved = self.planned.clone();
+        unsent.sort_by(|&a, &b| query.parts[b].weight.total_cmp(&query.parts[a].weight));
+        let planned_before = self.planned.clone();
         let mut plan: Vec<(usize, Candidate)> = Vec::new();
-        let mut reachable = held + out;
-        // A part that the budget won't let go out again is lost: better that the client comes back at once.
-        let mut further = self.further_left();
-        // What is out runs on after a refusal: while any part is out or served, one without a place waits.
-        let begun = query.parts.iter().any(|part| part.served || !part.live.is_empty());
-        let ClassState { cost, least, .. } = self.classes[query.class];
+        let mut reachable = served + outstanding;
+        // A part that the budget keeps from being retried is lost: it is better that the client repeats its
+        // query at once than that it waits.
+        let mut retries_left = self.retries_left();
+        // Outstanding work goes on after a refusal: once any part is outstanding or served, a part that no
+        // replica can take in time waits.
+        let begun = query.parts.iter().any(|part| part.served || !part.outstanding.is_empty());
+        let (cost, min_time) = (self.classes[query.class].cost, self.classes[query.class].min_time);
         let mut waits = false;
-        for index in waiting {
-            let again = usize::from(query.parts[index].attempts > 0);
-            if again > further {
+        for index in unsent {
+            let retry = usize::from(query.parts[index].attempts > 0);
+            if retry > retries_left {
                 query.parts[index].missing = Missing::Budget;
                 continue;
             }
-            let patience = self.patience(query, index, reachable);
-            // What earns under the mean leaves queues short for the class with the shortest aim. That bounds
-            // its wait, and not the work of its own query's parts, which servers of its cell do when idle.
-            let far = patience < 1.0 && allowed > self.shortest * (1.0 + START_SPREAD);
+            let allowed_share = self.allowed_share(query, index, reachable);
+            // A part that earns less than the mean leaves queues short enough for the class with the shortest
+            // aim. That bounds the time it waits, and not the work of its own query's parts, which the
+            // servers of its cell do when idle.
+            let low_worth = allowed_share < 1.0 && allowed > self.shortest_aim * (1.0 + INITIAL_SPREAD);
             let cell = |part: &PartState| part.shard.0 % self.settings.cells;
-            let same = query.parts.iter().filter(|p| cell(p) == cell(&query.parts[index])).count();
-            let own = Features::new(1.0, cost, cost * (same as f64 - 1.0), 0.0, 0.0);
-            let own = self.pool.weights.dot(&own).max(least) * (1.0 + START_SPREAD);
-            let short = (self.shortest * patience + own).min(allowed);
-            let allowed = if far { short } else { allowed * patience };
-            let choice = self.choose(query, &query.parts[index], allowed);
+            let in_cell = query.parts.iter().filter(|p| cell(p) == cell(&query.parts[index])).count();
+            let own_features = Features::new(1.0, cost, cost * (in_cell as f64 - 1.0), 0.0, 0.0);
+            let own_time = self.pooled_fit.weights.dot(&own_features).max(min_time) * (1.0 + INITIAL_SPREAD);
+            let short_allowed = (self.shortest_aim * allowed_share + own_time).min(allowed);
+            let allowed = if low_worth { short_allowed } else { allowed * allowed_share };
+            let choice = self.choose_replica(query, &query.parts[index], allowed);
             query.parts[index].missing = choice.as_ref().err().copied().unwrap_or(Missing::Held);
             if begun && query.parts[index].missing == Missing::Late {
                 waits = true;
@@ -868,141 +1059,155 @@
             } else if let Ok(choice) = choice {
                 reachable += query.parts[index].weight;
                 self.plan(choice.server, query.class);
-                further -= again;
+                retries_left -= retry;
                 plan.push((index, choice));
             }
         }
-        self.planned = saved;
+        self.planned = planned_before;
         if reachable < query.floor - EPSILON {
             return (reachable, false);
         }
-        let pending = out > 0.0 || !plan.is_empty() || waits;
+        let pending = outstanding > 0.0 || !plan.is_empty() || waits;
         for (index, choice) in plan {
             self.send(query, index, &choice, actions);
         }
         (reachable, pending)
     }
 
-    /// Gives up overdue attempts at doubtful servers that have answered nothing since, if another has time to
-    /// spare for the part. Guards against servers and connections that swallow work: one that is merely busy
-    /// answers what came before. Costs the work of a server that stood still for so long, and under overload
-    /// adds to it: hence the doubt and the time to spare.
-    fn leave_silent(&mut self, query: &QueryState, allowed: f64, actions: &mut Vec<Action>) {
-        let long = self.settings.classes[query.class].aim.mul_f64(SILENT[0]);
-        let most = self.settings.max_attempts;
-        for part in query.parts.iter().filter(|p| !p.served && p.attempts < most) {
-            let [number] = part.live[..] else { continue };
+    /// Withdraws overdue attempts from servers that failed recently and have answered nothing since they were
+    /// sent, if another replica can serve the part well within `allowed` units.
+    ///
+    /// Guards against servers and connections that drop work silently: a server that is merely busy still
+    /// answers earlier requests. The work of a server that was only paused is wasted, which adds to an
+    /// overload: hence the conditions on recent failures and on the time left.
+    fn withdraw_from_silent(&mut self, query: &QueryState, allowed: f64, actions: &mut Vec<Action>) {
+        let min_age = self.settings.classes[query.class].aim.mul_f64(SILENT_AIM_SHARE);
+        let max_attempts = self.settings.max_attempts;
+        for part in query.parts.iter().filter(|p| !p.served && p.attempts < max_attempts) {
+            let [number] = part.outstanding[..] else { continue };
             let Some(attempt) = self.attempts.get(&(part.id, number)) else { continue };
-            let silent = |s: &Server| s.heard > Time(0) && s.heard < attempt.sent && s.tries() >= SILENT[1];
-            let heard = !self.servers.get(&attempt.server).is_some_and(silent);
-            let early = !attempt.overdue || self.now.since(attempt.sent) < long;
-            if heard || early || attempt.left || !self.settings.cancel || !self.may_repeat(query, part) {
+            let is_silent = |s: &Server| {
+                s.last_answer > Time(0)
+                    && s.last_answer < attempt.sent
+                    && s.expected_tries() >= SILENT_MIN_TRIES
+            };
+            let silent = self.servers.get(&attempt.server).is_some_and(is_silent);
+            let early = !attempt.overdue || self.now.since(attempt.sent) < min_age;
+            if !silent || early || attempt.abandoned || !self.settings.cancel || !self.may_resend(query, part)
+            {
                 continue;
             }
-            if self.choose(query, part, allowed * SILENT[2]).is_ok_and(|c| !c.tried)
+            if self.choose_replica(query, part, allowed * SILENT_RETRY_SHARE).is_ok_and(|c| !c.tried)
                 && let Some(attempt) = self.attempts.get_mut(&(part.id, number))
             {
-                attempt.left = true;
+                attempt.abandoned = true;
                 actions.push(Action::Cancel { part: part.id, attempt: number, why: Withdrawn::Silent });
             }
         }
     }
 
-    /// Share of the time left that a part may be predicted to take, by what it earns for its work. Guards
-    /// against overload of any kind; hurts where the mean is no measure of what will be asked next.
-    fn patience(&self, query: &QueryState, index: usize, reachable: f64) -> f64 {
+    /// Share of the time left that a part may be predicted to take, by its worth per work relative to the
+    /// recent mean. Guards against overload of any kind; unsuitable where the mean is no measure of what will
+    /// be requested next.
+    fn allowed_share(&self, query: &QueryState, index: usize, reachable: f64) -> f64 {
         let class = &self.settings.classes[query.class];
-        let missing = query.parts.iter().filter(|p| !p.served).count().max(1) as f64;
+        let unserved = query.parts.iter().filter(|p| !p.served).count().max(1) as f64;
         let earns = match query.floor < query.need {
             true if reachable < query.floor => query.parts[index].weight.max(1.0 / query.parts.len() as f64),
             true => query.parts[index].weight * class.partial_worth,
-            false => 1.0 / (missing * query.need),
+            false => 1.0 / (unserved * query.need),
         };
-        // At the costs as known now: the mean would lag behind them, and hold one just learned to too much.
-        let work = self.classes.iter().map(|class| class.asked * class.cost).sum::<f64>();
-        let mean = (self.asked / work.max(EPSILON)).max(EPSILON);
-        // Past its aim a query has the time up to its end: it would fill the queues with waits so long.
+        // At present costs: a mean of worth per work would lag behind them, and hold the old ones against a
+        // cost that was just learned.
+        let work = self.classes.iter().map(|class| class.requested * class.cost).sum::<f64>();
+        let mean = (self.worth_requested / work.max(EPSILON)).max(EPSILON);
+        // After its aim a query has the time to its end, and queues as long as that would form.
         let worth = query.worth * if self.now < query.aim_at { 1.0 } else { class.late_share };
-        let power = WORTH_POWER[usize::from(self.is_told())];
-        let patience = (worth * earns / self.classes[query.class].cost / mean).powf(power);
-        patience.clamp(PATIENCE[0], 1.0).max(patience / PATIENCE[1]).min(PATIENCE[1])
+        let exponent = if self.peers_report() { WORTH_EXPONENT_WITH_PEERS } else { WORTH_EXPONENT };
+        let share = (worth * earns / self.classes[query.class].cost / mean).powf(exponent);
+        share.clamp(MIN_ALLOWED_SHARE, 1.0).max(share / MAX_ALLOWED_SHARE).min(MAX_ALLOWED_SHARE)
     }
 
-    /// Whether another attempt can do no harm: a safe one, a keyed one in its window, one that never ran.
-    fn may_repeat(&self, query: &QueryState, part: &PartState) -> bool {
-        let out = part.live.iter().filter_map(|n| self.attempts.get(&(part.id, *n)).map(|a| a.sent)).min();
-        let first = part.may_have_run.into_iter().chain(out).min();
+    /// Whether another attempt can do no harm: the part is safe, keyed and within its window, or never ran.
+    fn may_resend(&self, query: &QueryState, part: &PartState) -> bool {
+        let sent_of = |n: &u32| self.attempts.get(&(part.id, *n)).map(|a| a.sent);
+        let outstanding = part.outstanding.iter().filter_map(sent_of).min();
+        let first = part.may_have_run.into_iter().chain(outstanding).min();
         match (self.settings.classes[query.class].effect, first) {
             (Effect::Safe, _) | (_, None) => true,
-            (Effect::Keyed(window), Some(first)) => self.now.after(self.margin) <= first.after(window),
+            (Effect::Keyed(window), Some(first)) => self.now.after(self.reply_margin) <= first.after(window),
             (Effect::Unsafe, Some(_)) => false,
         }
     }
 
-    /// Further attempts that the budget still allows, counted to the safe side by a tick at both ends.
-    fn further_left(&self) -> usize {
+    /// Retries that the budget still allows. A tick is added at both ends of the window to stay on the safe
+    /// side.
+    fn retries_left(&self) -> usize {
         let Some(budget) = self.settings.budget else { return usize::MAX };
         let start = self.now.before(budget.window.saturating_sub(self.settings.tick));
-        let taken = self.taken.len() - self.taken.partition_point(|&t| t <= start);
-        let allowed = (budget.free + budget.share * taken as f64) as usize;
-        if self.is_held_back() { 0 } else { allowed.saturating_sub(self.further.len()) }
+        let accepted = self.accepted.len() - self.accepted.partition_point(|&t| t <= start);
+        let allowed = (budget.free + budget.share * accepted as f64) as usize;
+        if self.budgets_suspended() { 0 } else { allowed.saturating_sub(self.retries.len()) }
     }
 
     fn plan(&mut self, server: ServerId, class: usize) {
-        let planned = self.planned.entry(server).or_insert((0, 0.0));
-        if planned.0.is_multiple_of(self.settings.batch) {
-            planned.1 += self.settings.call_cost.as_secs_f64() / self.unit;
+        let planned = self.planned.entry(server).or_default();
+        if planned.parts.is_multiple_of(self.settings.batch) {
+            planned.work += self.settings.call_cost.as_secs_f64() / self.unit;
         }
-        planned.0 += 1;
-        planned.1 += self.classes[class].cost;
+        planned.parts += 1;
+        planned.work += self.classes[class].cost;
     }
 
     fn send(&mut self, query: &mut QueryState, index: usize, to: &Candidate, actions: &mut Vec<Action>) {
-        let (id, Some(why)) = (to.server, to.why) else { return };
+        let (id, Some(why)) = (to.server, to.choice) else { return };
         let Some(server) = self.servers.get(&id) else { return };
-        let (x, warmth) =
-            (self.features(server, id, query.class, query.parts[index].hint), self.warmth(server));
-        let before = self.planned.get(&id).map_or(0.0, |p| p.1);
+        let features = self.features(server, id, query.class, query.parts[index].hint_excess);
+        let warmth = self.warmth(server);
+        let work_before = self.planned.get(&id).map_or(0.0, |p| p.work);
         self.plan(id, query.class);
-        let work = self.planned[&id].1 - before;
-        let call = (self.steps << 16) | u64::from((self.planned[&id].0 - 1) / self.settings.batch);
+        let planned = self.planned[&id];
+        let work = planned.work - work_before;
+        let call = (self.steps << 16) | u64::from((planned.parts - 1) / self.settings.batch);
         let now = self.now;
-        let idle_since = now.before(Duration::from_secs_f64(self.mean_aim * IDLE_SHARE));
+        let idle_since = now.before(Duration::from_secs_f64(self.mean_aim * IDLE_AIM_SHARE));
         let Some(server) = self.servers.get_mut(&id) else { return };
         if warmth < 1.0 {
             server.cold_sends.push_back((now, work * self.unit));
         }
-        // Guards against connections dropped unseen while idle; where fresh ones fail, they are kept.
-        let idle = before == 0.0 && !self.out.contains_key(&id) && server.last_used < idle_since;
-        // A bad end costs about half a part, as another try serves most.
-        let renew = self.ends[1] + 2.0 * self.settings.handshake_price < self.ends[0];
-        if idle && (renew || server.last_used == Time(0)) {
+        // Guards against connections that were dropped unnoticed while idle. They are kept where new ones
+        // fail.
+        let idle =
+            work_before == 0.0 && !self.outstanding.contains_key(&id) && server.connections_used < idle_since;
+        // A failure costs about half a part, as another try mostly succeeds.
+        let renew = self.failure_rates.new + 2.0 * self.settings.handshake_price < self.failure_rates.reused;
+        if idle && (renew || server.connections_used == Time(0)) {
             actions.push(Action::CloseIdle { server: id });
         }
-        let fresh = (idle && server.last_used > Time(0)).then_some(renew);
-        (server.last_sent, server.last_used) = (now, now);
+        let on_new_connection = (idle && server.connections_used > Time(0)).then_some(renew);
+        (server.last_sent, server.connections_used) = (now, now);
         let part = &mut query.parts[index];
         let number = part.attempts;
         let cell = (part.shard.0 % self.settings.cells) as usize;
-        self.cells_asked[cell][1] += f64::from(u8::from(number == 0));
+        self.cell_demand[cell].sent += f64::from(u8::from(number == 0));
         if number > 0 && self.settings.budget.is_some() {
-            self.further.push_back(now);
+            self.retries.push_back(now);
         }
         part.attempts += 1;
-        part.live.push(number);
+        part.outstanding.push(number);
         part.tried.push(id);
         let attempt = Attempt {
             query: query.number,
             class: query.class,
             sent: now,
-            fresh,
+            on_new_connection,
             server: id,
             call,
-            x,
+            features,
             work,
             ..Attempt::default()
         };
-        self.fresh.push((part.id, number));
+        self.sent_in_step.push((part.id, number));
         self.attempts.insert((part.id, number), attempt);
         let late = self.settings.classes[query.class].late_share > 0.0;
         let until = if late { query.ends_at } else { query.aim_at.min(query.ends_at) };
@@ -1010,11 +1215,11 @@
         actions.push(Action::Send { part: part.id, server: id, time_out, why });
     }
 
-    fn cancel_all(&mut self, query: &mut QueryState, actions: &mut Vec<Action>) {
+    fn cancel_attempts(&mut self, query: &mut QueryState, actions: &mut Vec<Action>) {
         for part in &mut query.parts {
-            for number in part.live.drain(..) {
+            for number in part.outstanding.drain(..) {
                 if let Some(attempt) = self.attempts.get_mut(&(part.id, number)) {
-                    attempt.left = true;
+                    attempt.abandoned = true;
                 }
                 if self.settings.cancel {
                     actions.push(Action::Cancel { part: part.id, attempt: number, why: Withdrawn::Over });
@@ -1023,8 +1228,8 @@
         }
     }
 
-    /// Keeps a timer set while queries are open, and the list of servers subscribed to.
-    fn keep_watch(&mut self, actions: &mut Vec<Action>) {
+    /// Keeps a timer set while queries are open, and subscribes to the list of servers when that is due.
+    fn schedule_wakeups(&mut self, actions: &mut Vec<Action>) {
         if self.watch_at.is_some_and(|at| at <= self.now) {
             self.watch_at = None;
             actions.push(Action::WatchServers);
@@ -1034,7 +1239,7 @@
         {
             return;
         }
-        let at = self.now.after(self.settings.tick.saturating_mul(LOOK_TICKS));
+        let at = self.now.after(self.settings.tick.saturating_mul(REVIEW_INTERVAL_TICKS));
         self.timer_at = Some(at);
         actions.push(Action::SetTimer { timer: TimerId(self.steps), at });
     }
@@ -1042,22 +1247,24 @@
 
 impl QueryState {
     fn ending(&self, cause: Cause) -> Ending {
-        let why = |p: &PartState| if p.live.is_empty() { p.missing } else { Missing::Out };
+        let why = |p: &PartState| if p.outstanding.is_empty() { p.missing } else { Missing::Out };
         Ending { cause, missing: self.parts.iter().filter(|p| !p.served).map(|p| (p.id, why(p))).collect() }
     }
 }
 
 impl Server {
-    /// Attempts that it takes lately to be served there once. Guards against servers that fail quickly,
-    /// hang, are gone, or come and go, and against trouble that lies between a server and this front node
-    /// alone, where good ends part the bad ones. It ranks, with its square as a further try costs budget
-    /// too, and shuts nothing out, so a wrong doubt costs balance, never a query.
-    fn tries(&self) -> f64 {
-        (self.bad + self.good + 1.0) / (self.good + 1.0)
+    /// Expected attempts until one is served there, from its recent outcomes.
+    ///
+    /// Guards against servers that fail quickly, hang, are gone, or come and go, and against faults between a
+    /// server and this front node alone, where some attempts succeed and others fail. It is a factor in the
+    /// time and, squared, as retries cost budget too, in the score. It excludes no server, so that a wrong
+    /// estimate costs balance, and never a query.
+    fn expected_tries(&self) -> f64 {
+        (self.failures + self.successes + 1.0) / (self.successes + 1.0)
     }
 }
 
-/// Mixes the bits of a hash (splitmix64's finisher).
+/// Mixes the bits of a hash (finaliser of splitmix64).
 fn mix(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/core/src/decide/snapshot.rs
+++ b/crates/core/src/decide/snapshot.rs
@@ -1,28 +1,28 @@
-//! What a router has learned, in a form that another process can take over.
+//! A router's learned state in a form that another process can restore.
 //!
-//! In an upgrade a new process takes the place of a running one. [`Router::snapshot`] gives what the old
-//! router knows, [`Router::restore`] puts it into the new one, so that predictions do not start cold and the
-//! limits on cold servers and on further attempts count what the old process has sent.
+//! In an upgrade a new process replaces a running one. [`Router::snapshot`] returns what the old router has
+//! learned, and [`Router::restore`] puts it into the new one, so that predictions do not start from their
+//! initial values and the limits on cold servers and on further attempts count what the old process has sent.
 //!
 //! Every moment in a [`Snapshot`] is an [`Age`], as the two processes' clocks have different origins.
 //!
-//! # What is taken over
+//! # What is restored
 //!
-//! | state | taken over | why |
+//! | state | restored | why |
 //! | --- | --- | --- |
-//! | fits of the servers and of the pool | the sums, not the weights | each refit computes the weights from the sums |
-//! | `bound`, `report`, `good`, `bad`, `heard`, `last_sent` of a server | yes | they rank it and limit what it is sent |
-//! | `cold_sends` of a server, `born` | yes | both processes together stay within a cold server's limit |
-//! | `last_used`, `lost` of a server | no | they describe connections, and the new process opens its own |
-//! | list entry of a server | its start only | the new process has a list of its own; the start identifies the server's process |
-//! | `classes`, `asked`, `cells_asked`, `told` | yes | learned from the traffic |
-//! | use of the quotas | yes, not the rates | the rates come from the settings |
-//! | `taken`, `further` | yes | the budget of further attempts holds for both processes together |
-//! | `ends` | yes | a property of the network and the servers |
-//! | `now` | as the age of the last step | the next step fades what is faded by elapsed time |
-//! | `queries`, `attempts`, `out`, `planned`, `fresh` | no, but ages of overdue attempts, in `bound` | open queries stay with the old process |
-//! | `steps`, `timer_at`, `watch_at` | no | names of timers and the subscription are the new process's own |
-//! | `settings` and what is computed from them, `seed`, `cells` | no | given at the start, or by the list |
+//! | `fit` of the servers, `pooled_fit` | the sums, not the weights | each refit computes the weights from the sums |
+//! | `min_time`, `load`, `successes`, `failures`, `last_answer`, `last_sent` of a server | yes | they rank it and limit what it is sent |
+//! | `cold_sends` of a server, `first_step_at` | yes | both processes together stay within a cold server's limit |
+//! | `connections_used`, `connection_lost` of a server | no | they describe connections, and the new process opens its own |
+//! | `listed` of a server | its start only | the new process has a list of its own; the start identifies the server's process |
+//! | `classes`, `worth_requested`, `cell_demand`, `last_peer_report` | yes | learned from the traffic |
+//! | `quotas` | what is used, not the rates | the rates come from the settings |
+//! | `accepted`, `retries` | yes | the budget of further attempts holds for both processes together |
+//! | `failure_rates` | yes | a property of the network and the servers |
+//! | `now` | as the age of the last step | the next step decays counts by the time elapsed |
+//! | `queries`, `attempts`, `outstanding`, `planned`, `sent_in_step` | no, but the ages of overdue attempts, in `min_time` | open queries stay with the old process |
+//! | `steps`, `timer_at`, `watch_at` | no | ids of timers and the subscription are the new process's own |
+//! | `settings` and what is computed from them, `seed`, `servers_by_cell` | no | given at the start, or by the list |
 
 pub mod budgets;
 
@@ -32,15 +32,18 @@
 use serde::{Deserialize, Serialize};
 
 use self::budgets::Spending;
-use super::{ClassState, FEATURES, Features, Fit, Node, Router, Server};
+use super::{
+    CellDemand, ClassState, FEATURE_COUNT, FailureRates, Features, Fit, Router, RouterState, Server,
+};
 use crate::interface::{Listed, ServerId, Time};
 
 /// Version of the snapshot's layout.
 pub const VERSION: u32 = 1;
-/// Starts of a server that two processes' clocks place within this span are one start: the difference is the
-/// time between snapshot and restore, and a step of the system's clock between the two programs' starts.
+/// Starts of a server whose times differ by at most this are the same start. Such differences come from the
+/// time between snapshot and restore, and from a step of the system clock between the starts of the two
+/// processes.
 const START_TOLERANCE: Duration = Duration::from_secs(2);
-/// Most entries of the budget's window that a snapshot may hold.
+/// Largest number of entries of the budget's window that a snapshot may hold.
 const MAX_BUDGET_ENTRIES: u64 = 10_000_000;
 
 /// How long before the snapshot a moment was, in nanoseconds; negative for a moment after it.
@@ -54,12 +57,12 @@
         Age(nanos.clamp(i128::from(i64::MIN), i128::from(i64::MAX)) as i64)
     }
 
-    /// The age of a moment for which [`Time`] zero stands for "never".
+    /// The age of a moment, or none for [`Time`] zero, which stands for "never".
     fn of_event(now: Time, moment: Time) -> Option<Age> {
         (moment > Time(0)).then(|| Age::of(now, moment))
     }
 
-    /// The moment on a clock that now reads `now`, or the origin where it lies before that.
+    /// The moment on a clock that reads `now`, or the clock's origin if the moment lies before that.
     fn moment(self, now: Time) -> Time {
         let nanos = i128::from(now.0) - i128::from(self.0);
         Time(nanos.clamp(0, i128::from(u64::MAX)) as u64)
@@ -73,15 +76,15 @@
 /// The sums of a least-squares fit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FitSnapshot {
-    /// The matrix of products of features, column by column.
+    /// Sum of the outer products of features, column by column.
     pub products: Vec<f64>,
-    /// The products of features and times.
+    /// Sum of the features times the time taken.
     pub targets: Vec<f64>,
-    /// Faded count of outcomes.
+    /// Decayed count of outcomes.
     pub count: f64,
-    /// Faded sum of relative errors.
+    /// Decayed sum of absolute relative errors.
     pub errors: f64,
-    /// When the sums were last faded.
+    /// When the sums were last decayed.
     pub faded: Option<Age>,
 }
 
@@ -107,66 +110,66 @@
 /// What was learned of a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerSnapshot {
-    /// When its process started, if lately: knowledge of one process is of no use for the next.
+    /// When its process started, if recently: what was learned of one process does not apply to the next.
     pub started: Option<Age>,
     /// Its own fit.
     pub fit: FitSnapshot,
-    /// Least time of its last attempts that were not served, in units of the fit.
+    /// Decaying lower bound of its part times, in units of the fit, from attempts that ended unserved.
     pub bound: f64,
     /// Its last reported load.
     pub report: f64,
-    /// Faded count of bad ends.
+    /// Decayed count of attempts that failed or were overdue.
     pub bad: f64,
-    /// Faded count of good ends.
+    /// Decayed count of served attempts.
     pub good: f64,
-    /// When something was last sent there, or told of it.
+    /// When something was last sent to it, or another front node last reported on it.
     pub last_sent: Option<Age>,
-    /// When it last answered.
+    /// When it last answered anything.
     pub heard: Option<Age>,
-    /// What it was sent while cold, within the cold window.
+    /// Work sent to it while cold, within the cold window.
     pub cold_sends: Vec<ColdSend>,
 }
 
 /// What was learned of a class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassSnapshot {
-    /// Its aim: the unit of all predicted times follows from the aims.
+    /// Its aim in nanoseconds: the unit of all predicted times is computed from the aims.
     pub aim_nanos: u64,
-    /// Learned cost of a part, in units of the fit.
+    /// Mean time of a part on an idle server, in units of the fit.
     pub cost: f64,
-    /// How many outcomes taught the cost.
+    /// Number of outcomes in that mean.
     pub cost_count: f64,
-    /// Faded count of parts asked.
+    /// Decayed count of requested parts.
     pub asked: f64,
-    /// Mean of the hints, in seconds.
+    /// Moving mean of the hints, in seconds.
     pub hint_seconds: f64,
-    /// How many hints taught the mean.
+    /// Number of hints in that mean.
     pub hint_count: f64,
-    /// Time left that most tries come with.
+    /// Time left that most tries arrive with, by majority vote, in nanoseconds.
     pub usual_nanos: u64,
-    /// Votes for it.
+    /// Votes of that majority vote.
     pub votes: u8,
 }
 
-/// How many entries of the budget's window fell on one moment.
+/// Number of entries of the budget's window at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entries {
     /// The moment.
     pub at: Age,
-    /// How many.
+    /// Number of entries.
     pub count: u64,
 }
 
-/// What a router has learned. See the module's page for what it holds and what it does not.
+/// What a router has learned. See the module's documentation for what it holds and what it does not.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Version of the layout, [`VERSION`].
     pub version: u32,
-    /// When the router last made a step: its faded counts are those of that moment.
+    /// When the router made its last step: decayed counts are as of that moment.
     pub stepped: Age,
-    /// When the router made its first step, or that from which it took over; none if it made none.
+    /// When the router, or the one it was restored from, made its first step; none if there was none.
     pub born: Option<Age>,
-    /// When another front node last told of anything.
+    /// When another front node last reported an outcome.
     pub told: Option<Age>,
     /// What was learned of each listed server.
     pub servers: BTreeMap<ServerId, ServerSnapshot>,
@@ -174,24 +177,24 @@
     pub pool: FitSnapshot,
     /// The classes, by index.
     pub classes: Vec<ClassSnapshot>,
-    /// Queries lately within each tenant's quota, by index.
+    /// Recent queries within each tenant's quota, by index.
     pub quotas_used: Vec<f64>,
-    /// Queries and parts taken within the budget's window.
+    /// Queries and parts accepted within the budget's window.
     pub taken: Vec<Entries>,
     /// Further attempts made within the budget's window.
     pub further: Vec<Entries>,
-    /// Shares of bad ends on connections long idle, and on fresh ones.
+    /// Failure rates of attempts on connections that were idle for long, and on new ones.
     pub ends: [f64; 2],
-    /// Faded worth of what was asked.
+    /// Decayed worth of the requested queries.
     pub asked: f64,
-    /// Faded counts of parts asked and sent, by the first cell that holds them.
+    /// Decayed counts of parts requested and sent, by the first cell that holds their shard.
     pub cells_asked: Vec<[f64; 2]>,
 }
 
-/// Why a snapshot was not taken over.
+/// Why a snapshot was not restored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// Its layout is another one.
+    /// Its layout has another version.
     #[error("snapshot: layout version {found}, expected {expected}")]
     Version {
         /// The snapshot's version.
@@ -199,23 +202,23 @@
         /// The version read here.
         expected: u32,
     },
-    /// A list in it has another length than the settings ask for.
+    /// A list in it has another length than the settings require.
     #[error("snapshot: {field} has {found} entries, expected {expected}")]
     Length {
         /// The list.
         field: &'static str,
         /// Its length.
         found: usize,
-        /// The length asked for.
+        /// The length required.
         expected: usize,
     },
     /// A class has another aim than in the settings.
-    #[error("snapshot: class {class} has another aim")]
+    #[error("snapshot: aim of class {class} differs from the settings")]
     Aim {
         /// Index of the class.
         class: usize,
     },
-    /// A number in it can't be true.
+    /// A number in it is invalid.
     #[error("snapshot: {field} {fault}")]
     Number {
         /// The field.
@@ -223,8 +226,8 @@
         /// What is wrong with it.
         fault: &'static str,
     },
-    /// The router has taken a query already: what it learned itself would be lost.
-    #[error("snapshot: the router has already taken queries")]
+    /// The router has already accepted a query: what it learned itself would be lost.
+    #[error("snapshot: the router has already accepted queries")]
     InUse,
 }
 
@@ -234,19 +237,19 @@
         self.0.snapshot(now)
     }
 
-    /// Takes over what another router has learned. `now` is the moment on this router's clock at which the
+    /// Restores what another router has learned. `now` is the moment on this router's clock at which the
     /// snapshot was taken. Where only a later moment is known, all ages come out too short by the difference:
     /// cold servers then get less than they might, and the window of the budget counts requests for longer.
     ///
-    /// The list of servers may have come before or may come later. What was learned of a server applies when
-    /// the list names it, with the same start; until then it is kept aside and no decision sees it.
+    /// The list of servers may be given before or after. What was learned of a server applies once the list
+    /// names it with the same start; until then it is kept aside and affects no decision.
     ///
-    /// What the other router spends on cold servers and further attempts after the snapshot is told apart from it: see
-    /// [`Router::take_budgets_over`].
+    /// What the other router spends on cold servers and further attempts after the snapshot is reported
+    /// separately: see [`Router::take_budgets_over`].
     ///
     /// # Errors
     ///
-    /// When the snapshot does not fit the settings, holds numbers that can't be true, or this router has taken
+    /// When the snapshot does not fit the settings or holds invalid numbers, or this router has accepted
     /// queries already. The router is unchanged then.
     pub fn restore(&mut self, now: Time, snapshot: &Snapshot) -> Result<(), SnapshotError> {
         self.0.check_unused()?;
@@ -257,17 +260,17 @@
     }
 }
 
-/// What a router shares with that of another process of the same front node.
+/// State that a router shares with the router of another process of the same front node.
 #[derive(Default)]
 pub(super) struct HandOver {
-    /// What was taken over of servers that no list has named yet.
+    /// Restored state of servers that no list has named yet.
     servers: BTreeMap<ServerId, Server>,
-    /// Until when nothing is spent of the budgets that hold for both.
-    budgets_held_until: Time,
+    /// Until when nothing is used of the budgets that hold for both.
+    budgets_suspended_until: Time,
 }
 
 impl Spending {
-    /// Refuses what can't be true.
+    /// Checks that the numbers are valid.
     fn check(&self) -> Result<(), SnapshotError> {
         self.cold_sends.values().try_for_each(|sends| check_cold_sends(sends))?;
         check_entries("further", &self.further)
@@ -275,12 +278,13 @@
 }
 
 impl HandOver {
-    /// What was taken over of a server that no list has named yet.
+    /// Restored state of a server that no list has named yet.
     fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
         self.servers.get_mut(&id)
     }
 
-    /// The state of a server that is new in the list: what was taken over of the same process of it, if anything.
+    /// The state of a server that is new in the list: the restored one if it is of the same process, else the
+    /// initial one.
     pub(super) fn server(&mut self, listed: Listed) -> Server {
         let known = self.servers.remove(&listed.server);
         let known = known.filter(|known| is_same_start(known.listed.started, listed.started));
@@ -288,58 +292,59 @@
     }
 }
 
-/// Whether a start that was taken over and one from the list are the same.
+/// Whether a restored start and one from the list are the same.
 fn is_same_start(known: Option<Time>, listed: Option<Time>) -> bool {
     match (known, listed) {
         (Some(known), Some(listed)) => known.since(listed).max(listed.since(known)) <= START_TOLERANCE,
-        // A start before the origin of the new process's clock can't be told by it.
+        // The list of the new process can't express a start before the origin of its clock.
         (Some(known), None) => known <= Time(0).after(START_TOLERANCE),
         (None, listed) => listed.is_none(),
     }
 }
 
-impl Node {
+impl RouterState {
     fn snapshot(&self, now: Time) -> Snapshot {
         let classes = self.settings.classes.iter().zip(&self.classes);
         let server = |(id, server): (&ServerId, &Server)| (*id, self.server_snapshot(*id, server, now));
         Snapshot {
             version: VERSION,
             stepped: Age::of(now, self.now),
-            born: (self.steps > 0).then(|| Age::of(now, self.born)),
-            told: self.told.map(|told| Age::of(now, told)),
+            born: (self.steps > 0).then(|| Age::of(now, self.first_step_at)),
+            told: self.last_peer_report.map(|at| Age::of(now, at)),
             servers: self.servers.iter().map(server).collect(),
-            pool: FitSnapshot::of(&self.pool, now),
+            pool: FitSnapshot::of(&self.pooled_fit, now),
             classes: classes.map(|(class, state)| ClassSnapshot::of(class.aim, state)).collect(),
-            quotas_used: self.quotas.iter().map(|(_, used)| *used).collect(),
-            taken: Entries::of(&self.taken, now),
-            further: Entries::of(&self.further, now),
-            ends: self.ends,
-            asked: self.asked,
-            cells_asked: self.cells_asked.clone(),
+            quotas_used: self.quotas.iter().map(|quota| quota.used).collect(),
+            taken: Entries::of(&self.accepted, now),
+            further: Entries::of(&self.retries, now),
+            ends: [self.failure_rates.reused, self.failure_rates.new],
+            asked: self.worth_requested,
+            cells_asked: self.cell_demand.iter().map(|demand| [demand.requested, demand.sent]).collect(),
         }
     }
 
-    /// A server's state, with the age of its oldest overdue attempt. That attempt's end will be told to this process
-    /// alone: to the other one its age is a lower bound, as that of an attempt which ended unserved.
+    /// A server's state, with the age of its oldest overdue attempt. The outcome of that attempt will be
+    /// reported to this process alone. For the other one its age is a lower bound, as that of an attempt that
+    /// ended unserved.
     fn server_snapshot(&self, id: ServerId, server: &Server, now: Time) -> ServerSnapshot {
-        let overdue = self.out.get(&id).map_or(0.0, |out| out.overdue);
+        let overdue = self.outstanding.get(&id).map_or(0.0, |out| out.overdue);
         let cold_start = now.before(self.settings.cold.window);
         let cold_sends = server.cold_sends.iter().filter(|(sent, _)| *sent >= cold_start);
         ServerSnapshot {
             started: server.listed.started.map(|started| Age::of(now, started)),
             fit: FitSnapshot::of(&server.fit, now),
-            bound: server.bound.max(overdue),
-            report: server.report,
-            bad: server.bad,
-            good: server.good,
+            bound: server.min_time.max(overdue),
+            report: server.load,
+            bad: server.failures,
+            good: server.successes,
             last_sent: Age::of_event(now, server.last_sent),
-            heard: Age::of_event(now, server.heard),
+            heard: Age::of_event(now, server.last_answer),
             cold_sends: cold_sends.map(|send| ColdSend::of(*send, now)).collect(),
         }
     }
 
     fn check_unused(&self) -> Result<(), SnapshotError> {
-        let unused = self.queries.is_empty() && self.attempts.is_empty() && self.asked == 0.0;
+        let unused = self.queries.is_empty() && self.attempts.is_empty() && self.worth_requested == 0.0;
         if unused { Ok(()) } else { Err(SnapshotError::InUse) }
     }
 
@@ -349,7 +354,7 @@
         }
         check_length("classes", snapshot.classes.len(), self.classes.len())?;
         check_length("quotas_used", snapshot.quotas_used.len(), self.quotas.len())?;
-        check_length("cells_asked", snapshot.cells_asked.len(), self.cells_asked.len())?;
+        check_length("cells_asked", snapshot.cells_asked.len(), self.cell_demand.len())?;
         let aims = self.settings.classes.iter().map(|class| saturating_nanos(class.aim));
         let mut classes = snapshot.classes.iter().zip(aims);
         match classes.position(|(class, aim)| class.aim_nanos != aim) {
@@ -358,31 +363,35 @@
         }
     }
 
-    /// Puts a checked snapshot in place.
+    /// Restores a checked snapshot.
     fn restore(&mut self, now: Time, snapshot: &Snapshot) {
         let stepped = snapshot.stepped.moment(now);
         if let Some(born) = snapshot.born {
-            // The start-up rules of a new process would count what the old one sent as not sent.
-            self.born = born.moment(now);
+            // With a first step of its own, the rules for a new router would count what the old one sent
+            // again.
+            self.first_step_at = born.moment(now);
             self.steps = self.steps.max(1);
         }
-        self.told = snapshot.told.map(|told| told.moment(now));
-        self.pool = snapshot.pool.fit(now);
+        self.last_peer_report = snapshot.told.map(|told| told.moment(now));
+        self.pooled_fit = snapshot.pool.fit(now);
         for (class, learned) in self.classes.iter_mut().zip(&snapshot.classes) {
-            *class = ClassState { least: class.least, ..learned.state() };
+            *class = ClassState { min_time: class.min_time, ..learned.state() };
         }
-        for ((_, used), inherited) in self.quotas.iter_mut().zip(&snapshot.quotas_used) {
-            *used = *inherited;
+        for (quota, used) in self.quotas.iter_mut().zip(&snapshot.quotas_used) {
+            quota.used = *used;
         }
-        self.taken = Entries::moments(&snapshot.taken, now);
-        self.further = Entries::moments(&snapshot.further, now);
-        self.ends = snapshot.ends;
-        self.asked = snapshot.asked;
-        self.cells_asked.clone_from(&snapshot.cells_asked);
+        self.accepted = Entries::moments(&snapshot.taken, now);
+        self.retries = Entries::moments(&snapshot.further, now);
+        let [reused, new] = snapshot.ends;
+        self.failure_rates = FailureRates { reused, new };
+        self.worth_requested = snapshot.asked;
+        let demands = snapshot.cells_asked.iter();
+        self.cell_demand =
+            demands.map(|[requested, sent]| CellDemand { requested: *requested, sent: *sent }).collect();
         self.restore_servers(now, snapshot);
-        // What fades by elapsed time is as of the old router's last step; this one may have made a later step.
+        // Decaying counts are as of the old router's last step, and this one may have made a later step.
         self.now = self.now.max(stepped);
-        self.age(self.now.since(stepped).as_secs_f64());
+        self.decay(self.now.since(stepped).as_secs_f64());
     }
 
     fn restore_servers(&mut self, now: Time, snapshot: &Snapshot) {
@@ -397,27 +406,27 @@
 impl FitSnapshot {
     fn of(fit: &Fit, now: Time) -> Self {
         FitSnapshot {
-            products: fit.a.as_slice().to_vec(),
-            targets: fit.b.as_slice().to_vec(),
+            products: fit.products.as_slice().to_vec(),
+            targets: fit.targets.as_slice().to_vec(),
             count: fit.count,
             errors: fit.errors,
-            faded: Age::of_event(now, fit.faded),
+            faded: Age::of_event(now, fit.decayed_at),
         }
     }
 
-    /// The fit, with weights that are computed when it is next looked at.
+    /// The fit; its weights are computed by the next refit.
     fn fit(&self, now: Time) -> Fit {
-        let mut fit = Fit { b: Features::from_column_slice(&self.targets), ..Fit::default() };
-        fit.a.copy_from_slice(&self.products);
+        let mut fit = Fit { targets: Features::from_column_slice(&self.targets), ..Fit::default() };
+        fit.products.copy_from_slice(&self.products);
         fit.count = self.count;
         fit.errors = self.errors;
-        fit.faded = moment_or_never(self.faded, now);
+        fit.decayed_at = moment_or_never(self.faded, now);
         fit
     }
 
     fn check(&self) -> Result<(), SnapshotError> {
-        check_length("fit.products", self.products.len(), FEATURES * FEATURES)?;
-        check_length("fit.targets", self.targets.len(), FEATURES)?;
+        check_length("fit.products", self.products.len(), FEATURE_COUNT * FEATURE_COUNT)?;
+        check_length("fit.targets", self.targets.len(), FEATURE_COUNT)?;
         check_finite("fit.products", &self.products)?;
         check_finite("fit.targets", &self.targets)?;
         check_amounts("fit.count", &[self.count])?;
@@ -434,12 +443,12 @@
         Server {
             listed: Listed { started, ..Listed::default() },
             fit: self.fit.fit(now),
-            bound: self.bound,
-            report: self.report,
-            bad: self.bad,
-            good: self.good,
+            min_time: self.bound,
+            load: self.report,
+            failures: self.bad,
+            successes: self.good,
             last_sent: moment_or_never(self.last_sent, now),
-            heard: moment_or_never(self.heard, now),
+            last_answer: moment_or_never(self.heard, now),
             cold_sends: cold_sends.into(),
             ..Server::default()
         }
@@ -460,23 +469,24 @@
         ClassSnapshot {
             aim_nanos: saturating_nanos(aim),
             cost: state.cost,
-            cost_count: state.count,
-            asked: state.asked,
-            hint_seconds: state.hint.0,
-            hint_count: state.hint.1,
-            usual_nanos: saturating_nanos(state.usual),
-            votes: state.votes,
+            cost_count: state.cost_samples,
+            asked: state.requested,
+            hint_seconds: state.hint_mean,
+            hint_count: state.hint_samples,
+            usual_nanos: saturating_nanos(state.usual_time_left),
+            votes: state.usual_votes,
         }
     }
 
     fn state(&self) -> ClassState {
         ClassState {
             cost: self.cost,
-            count: self.cost_count,
-            asked: self.asked,
-            hint: (self.hint_seconds, self.hint_count),
-            usual: Duration::from_nanos(self.usual_nanos),
-            votes: self.votes,
+            cost_samples: self.cost_count,
+            requested: self.asked,
+            hint_mean: self.hint_seconds,
+            hint_samples: self.hint_count,
+            usual_time_left: Duration::from_nanos(self.usual_nanos),
+            usual_votes: self.votes,
             ..ClassState::default()
         }
     }
@@ -539,7 +549,11 @@
 
 fn check_amounts(field: &'static str, numbers: &[f64]) -> Result<(), SnapshotError> {
     let holds = numbers.iter().all(|number| number.is_finite() && *number >= 0.0);
-    if holds { Ok(()) } else { Err(SnapshotError::Number { field, fault: "must be a finite amount" }) }
+    if holds {
+        Ok(())
+    } else {
+        Err(SnapshotError::Number { field, fault: "must be finite and not negative" })
+    }
 }
 
 fn check_cold_sends(sends: &[ColdSend]) -> Result<(), SnapshotError> {
