--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -4,7 +4,7 @@
 //! A query is accepted together with its parts. A linear fit predicts the time of each part at each replica.
 //! A part is sent to the first replica, its home replica first, that can finish it before the aim; otherwise
 //! it is not sent. The query is answered from the parts that were served. The code after that path handles
-//! failures: withdrawals, retries, cold servers and connections.
+//! failures: cancellations, retries, cold servers and connections.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::f64::consts::LN_2;
@@ -17,10 +17,10 @@
 mod avoided;
 pub mod snapshot;
 
-/// Features of the fit: intercept, cost of the class, own outstanding work at the server, the load it
+/// Features of the fit: intercept, cost of the class, own work in flight at the server, the load it
 /// reported, and the excess of the part's hint over the cost of its class.
 const FEATURE_COUNT: usize = 5;
-/// Index of the server's outstanding work among the features.
+/// Index of the server's work in flight among the features.
 const WORK_FEATURE: usize = 2;
 /// Before any outcome, a part is predicted to take this share of its class's aim. The same share of the mean
 /// aim is the time unit of the fit.
@@ -50,17 +50,17 @@
 const ADMISSION_SPREADS: f64 = 0.6;
 /// An attempt is overdue at so many spreads above the fit: few attempts at healthy servers are.
 const OVERDUE_SPREADS: f64 = 2.5;
-/// An attempt is withdrawn from a silent server after this share of its class's aim at the earliest, ...
-const SILENT_AIM_SHARE: f64 = 0.5;
+/// An attempt at an unresponsive server is cancelled after this share of its class's aim at the earliest, ...
+const UNRESPONSIVE_AIM_SHARE: f64 = 0.5;
 /// ... if the server's expected tries per served part are at least so many, ...
-const SILENT_MIN_TRIES: f64 = 1.2;
+const UNRESPONSIVE_MIN_TRIES: f64 = 1.2;
 /// ... and another replica is predicted to serve the part within this share of the time left.
-const SILENT_RETRY_SHARE: f64 = 0.5;
-/// Outstanding calls of this front node up to which the home replica is kept: one, as servers work on several
+const UNRESPONSIVE_RETRY_SHARE: f64 = 0.5;
+/// InFlight calls of this front node up to which the home replica is kept: one, as servers work on several
 /// at once.
 const MAX_HOME_CALLS: usize = 1;
-/// The home replica is also left when its score is over so many times the best one. A draining server's score
-/// is raised by this share.
+/// The home replica is also bypassed when its score is over so many times the best one. A draining server's
+/// score is raised by this share.
 const MAX_HOME_RATIO: f64 = 1.5;
 /// Factor on the price of crossing zones, when candidates are ranked by predicted time.
 const CROSS_ZONE_WEIGHT: f64 = 5.0;
@@ -81,7 +81,7 @@
 /// Weight of each outcome in these rates: two failures in a row make a difference.
 const FAILURE_RATE_WEIGHT: f64 = 0.1;
 /// A refused client is asked to stay away for this share of its class's aim.
-pub(crate) const HOLD_OFF_SHARE: f64 = 0.15;
+pub(crate) const RETRY_AFTER_SHARE: f64 = 0.15;
 /// Exponent of a part's worth per work, relative to the mean, in its share of the time left.
 const WORTH_EXPONENT: f64 = 0.35;
 /// The same while peers report their outcomes.
@@ -99,7 +99,7 @@
 const EPSILON: f64 = 5e-5;
 
 type Features = SVector<f64, FEATURE_COUNT>;
-/// Weights before any outcome: the cost, and half of the outstanding work, as servers do two parts at once.
+/// Weights before any outcome: the cost, and half of the work in flight, as servers do two parts at once.
 const INITIAL_WEIGHTS: Features = Features::new(0.0, 1.0, 0.5, 0.0, 0.0);
 
 /// Regularised least squares with exponential forgetting. The sums are decayed at each refit.
@@ -150,7 +150,7 @@
 /// What is known of a server.
 #[derive(Clone, Default)]
 struct Server {
-    listed: Listed,
+    listed: ServerEntry,
     fit: Fit,
     /// Decaying lower bound of its part times, in units, from attempts that ended unserved.
     min_time: f64,
@@ -172,9 +172,9 @@
     cold_sends: VecDeque<(Time, f64)>,
 }
 
-/// What this front node has outstanding at a server.
+/// What this front node has in flight at a server.
 #[derive(Clone, Default)]
-struct Outstanding {
+struct InFlight {
     calls: BTreeSet<u64>,
     /// Its work in units.
     work: f64,
@@ -190,7 +190,7 @@
     work: f64,
 }
 
-/// An outstanding attempt.
+/// An attempt in flight.
 #[derive(Default)]
 struct Attempt {
     query: QueryNumber,
@@ -221,15 +221,15 @@
     /// Relative excess of its hint over the mean hint of its class; negative below it.
     hint_excess: f64,
     attempts: u32,
-    /// Numbers of its outstanding attempts.
-    outstanding: Vec<u32>,
+    /// Numbers of its attempts in flight.
+    in_flight: Vec<u32>,
     served: bool,
     /// Servers that it was sent to.
     tried: Vec<ServerId>,
-    /// Whether it was withdrawn from a silent server.
-    withdrawn: bool,
-    /// Why it is not outstanding.
-    missing: Missing,
+    /// Whether an attempt was cancelled because its server was unresponsive.
+    cancelled: bool,
+    /// Why no attempt is in flight.
+    missing: MissingReason,
     /// When the first of its ended attempts that may have run was sent.
     may_have_run: Option<Time>,
 }
@@ -239,19 +239,19 @@
     id: QueryId,
     number: QueryNumber,
     class: usize,
-    /// Worth of a whole answer, by class and tenant.
+    /// Worth of a complete answer, by class and tenant.
     worth: f64,
     /// Hash of its key, which determines its home replicas.
     key_hash: u64,
     aim_at: Time,
     ends_at: Time,
     parts: Vec<PartState>,
-    /// Weight of the parts that makes its step whole.
+    /// Weight of the parts that makes its step complete.
     need: f64,
     /// Least weight of the parts that may be answered.
     floor: f64,
     second_step: bool,
-    /// Whether its first step was answered from less than a whole.
+    /// Whether its first step was answered from fewer parts than complete.
     first_step_partial: bool,
 }
 
@@ -300,7 +300,7 @@
 /// What is decided on a query in a step.
 enum QueryDecision {
     KeepOpen,
-    Answer { whole: bool, cause: Cause },
+    Answer { complete: bool, cause: Cause },
     GiveUp(Cause),
 }
 
@@ -323,7 +323,7 @@
     /// Predicted time weighted for ranking; lower is better.
     score: f64,
     home_rank: HomeRank,
-    /// Outstanding calls of this front node that the part would not share.
+    /// InFlight calls of this front node that the part would not share.
     calls: usize,
     /// Factor in the score for the server's recent failures.
     failure_factor: f64,
@@ -354,7 +354,7 @@
     /// Half-life of all that is learned but the fits, in seconds.
     half_life: f64,
     /// When a peer (another front node) last reported an outcome.
-    last_peer_report: Option<Time>,
+    last_peer_outcome: Option<Time>,
     /// Shortest aim of any class, in units.
     shortest_aim: f64,
     longest_deadline: Duration,
@@ -368,7 +368,7 @@
     classes: Vec<ClassState>,
     queries: BTreeMap<QueryNumber, QueryState>,
     attempts: BTreeMap<(PartId, u32), Attempt>,
-    outstanding: BTreeMap<ServerId, Outstanding>,
+    in_flight: BTreeMap<ServerId, InFlight>,
     /// When the queries and parts within the budget's window were accepted.
     accepted: VecDeque<Time>,
     /// When the further attempts (retries) within the budget's window were sent.
@@ -442,7 +442,7 @@
         state.steps += 1;
         state.decay(elapsed);
         events.iter().for_each(|event| state.handle_event(event, actions));
-        state.update_outstanding();
+        state.update_in_flight();
         let open: Vec<QueryNumber> = state.queries.keys().copied().collect();
         open.into_iter().for_each(|number| state.advance_query(number, actions));
         state.update_sent_features();
@@ -473,8 +473,8 @@
             Event::ServersFailed if self.settings.list_on_request => {
                 self.watch_at = Some(self.now.after(Duration::from_secs_f64(self.mean_aim)));
             }
-            Event::Told { server, class, verdict, took } => {
-                self.handle_peer_report(*server, *class, *verdict, took.as_secs_f64() / self.unit);
+            Event::PeerOutcome { server, class, verdict, took } => {
+                self.handle_peer_outcome(*server, *class, *verdict, took.as_secs_f64() / self.unit);
             }
             Event::Timer(_) | Event::ServersFailed | Event::Probed { .. } => {}
         }
@@ -490,17 +490,18 @@
             quota.used += 1.0;
         }
         let worth = class.worth * if over { self.settings.over_share_worth } else { 1.0 };
-        // Where repeats are not marked, a try with another time left than most of its class is taken for a
-        // client's repeat, and the aim counts from its first try. Clients whose own time limits differ are
-        // mistaken for repeats.
+        // Where retries are not marked, a try with another time left than most of its class is taken for a
+        // client's retry, and the aim counts from its first try. Clients whose own time limits differ are
+        // mistaken for retries.
         let learned = &mut self.classes[query.class];
-        let alike = query.left.abs_diff(learned.usual_time_left) <= self.reply_margin;
+        let alike = query.time_left.abs_diff(learned.usual_time_left) <= self.reply_margin;
         learned.usual_votes =
             if alike { learned.usual_votes.saturating_add(1) } else { learned.usual_votes.saturating_sub(1) };
-        learned.usual_time_left = if learned.usual_votes == 0 { query.left } else { learned.usual_time_left };
-        let unusual = !alike && query.left != learned.usual_time_left && !self.settings.repeats_marked;
-        let repeated = query.repeated || unusual;
-        let elapsed = if repeated { class.deadline.saturating_sub(query.left) } else { Duration::ZERO };
+        learned.usual_time_left =
+            if learned.usual_votes == 0 { query.time_left } else { learned.usual_time_left };
+        let unusual = !alike && query.time_left != learned.usual_time_left && !self.settings.retries_marked;
+        let is_retry = query.is_retry || unusual;
+        let elapsed = if is_retry { class.deadline.saturating_sub(query.time_left) } else { Duration::ZERO };
         let state = QueryState {
             id: query.id,
             number: query.number,
@@ -508,7 +509,7 @@
             worth,
             key_hash: mix(query.key.unwrap_or(query.id.0 ^ self.seed)),
             aim_at: self.now.before(elapsed).after(class.aim),
-            ends_at: self.now.after(query.left),
+            ends_at: self.now.after(query.time_left),
             ..QueryState::default()
         };
         self.queries.insert(query.number, state);
@@ -544,15 +545,16 @@
         });
     }
 
-    fn update_servers(&mut self, list: &[Listed]) {
+    fn update_servers(&mut self, list: &[ServerEntry]) {
         for listed in list {
-            let listed = Listed { cell: listed.cell % self.settings.cells, ..listed.clone() };
+            let listed = ServerEntry { cell: listed.cell % self.settings.cells, ..listed.clone() };
             let known = self.servers.get_mut(&listed.server).map(|server| &mut server.listed);
             if listed.state == ServerState::Removed {
                 self.servers.remove(&listed.server);
             } else if let Some(known) = known.filter(|k| k.started == listed.started) {
-                let until = if known.state == listed.state { known.until } else { listed.until };
-                *known = Listed { until, ..listed };
+                let send_until =
+                    if known.state == listed.state { known.send_until } else { listed.send_until };
+                *known = ServerEntry { send_until, ..listed };
             } else {
                 // A restart resets the fit: the new process does not share the old one's faults.
                 self.servers.insert(listed.server, self.hand_over.server(listed));
@@ -577,9 +579,9 @@
         self.learn(&attempt, verdict, took.as_secs_f64() / self.unit, load);
         let parts = self.queries.get_mut(&attempt.query).map(|q| q.parts.iter_mut());
         let Some(part) = parts.into_iter().flatten().find(|p| p.id == id) else { return };
-        part.outstanding.retain(|&n| n != number);
+        part.in_flight.retain(|&n| n != number);
         part.served |= verdict == Verdict::Served;
-        part.withdrawn |= attempt.abandoned;
+        part.cancelled |= attempt.abandoned;
         if !verdict.never_ran() {
             part.may_have_run = part.may_have_run.into_iter().chain([attempt.sent]).min();
         }
@@ -592,7 +594,7 @@
 
     /// Whether peers have reported outcomes within the half-life.
     fn peers_report(&self) -> bool {
-        self.last_peer_report.is_some_and(|at| self.now.since(at).as_secs_f64() < self.half_life)
+        self.last_peer_outcome.is_some_and(|at| self.now.since(at).as_secs_f64() < self.half_life)
     }
 
     /// Half-life of the fits, in seconds: shorter while peers report their outcomes.
@@ -646,23 +648,23 @@
     fn learn(&mut self, attempt: &Attempt, verdict: Verdict, took: f64, load: &LoadReport) {
         let peers_report = self.peers_report();
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
-        // Where peers report and the server has answered none of them either, the server itself is silent,
-        // and not the connection.
-        let silent = matches!(verdict, Verdict::Cancelled | Verdict::NoAnswer) && attempt.overdue;
-        let silent = silent && (!peers_report || server.last_answer > attempt.sent);
+        // Where peers report and the server has answered none of them either, the server itself is
+        // unresponsive, and not the connection.
+        let unresponsive = matches!(verdict, Verdict::Cancelled | Verdict::NoAnswer) && attempt.overdue;
+        let unresponsive = unresponsive && (!peers_report || server.last_answer > attempt.sent);
         let own = attempt.sent > Time(0);
         if own {
-            server.connections_used = if silent { Time(0) } else { self.now };
+            server.connections_used = if unresponsive { Time(0) } else { self.now };
         }
-        if matches!(verdict, Verdict::Served | Verdict::Error | Verdict::TurnedAway) {
+        if matches!(verdict, Verdict::Served | Verdict::Error | Verdict::Rejected) {
             server.last_answer = self.now;
         }
         if let Some(new) = attempt.on_new_connection {
             let rates = &mut self.failure_rates;
             let rate = if new { &mut rates.new } else { &mut rates.reused };
             let failure = if new { Verdict::NoConnection } else { Verdict::ConnectionLost };
-            *rate +=
-                (f64::from(u8::from(verdict == failure || (silent && !new))) - *rate) * FAILURE_RATE_WEIGHT;
+            *rate += (f64::from(u8::from(verdict == failure || (unresponsive && !new))) - *rate)
+                * FAILURE_RATE_WEIGHT;
         }
         let reported = load.waiting.or(load.held).or(load.utilisation);
         server.load = reported.filter(|v| v.is_finite()).unwrap_or(server.load);
@@ -676,7 +678,7 @@
                 if !own {
                     return;
                 }
-                // The time that other outstanding work does not explain is the class's cost.
+                // The time that other work in flight does not explain is the class's cost.
                 let own = took - server.fit.weights[WORK_FEATURE] * attempt.features[WORK_FEATURE];
                 let class = &mut self.classes[attempt.class];
                 class.cost_samples += 1.0;
@@ -688,7 +690,7 @@
                 server.min_time = server.min_time.max(took);
             }
             // Its queue is full: a part would take an aim and more.
-            Verdict::TurnedAway => {
+            Verdict::Rejected => {
                 server.min_time = server.min_time.max(self.mean_aim / self.unit);
                 server.failures += 1.0;
             }
@@ -704,8 +706,8 @@
     }
 
     /// Learns from a peer's outcome as from an own one, but for the state of connections.
-    fn handle_peer_report(&mut self, id: ServerId, class: usize, verdict: Verdict, took: f64) {
-        self.last_peer_report = Some(self.now);
+    fn handle_peer_outcome(&mut self, id: ServerId, class: usize, verdict: Verdict, took: f64) {
+        self.last_peer_outcome = Some(self.now);
         self.refresh_server(id);
         let (Some(server), Some(known)) = (self.servers.get(&id), self.classes.get(class)) else { return };
         let features = Features::new(1.0, known.cost, 0.0, server.load, 0.0);
@@ -719,20 +721,20 @@
         }
     }
 
-    /// Sums up the outstanding work at each server. Marks overdue attempts, each of which counts as a failure
+    /// Sums up the work in flight at each server. Marks overdue attempts, each of which counts as a failure
     /// once.
-    fn update_outstanding(&mut self) {
-        self.outstanding.clear();
-        // Attempts whose outcome was never reported would be kept for ever.
+    fn update_in_flight(&mut self) {
+        self.in_flight.clear();
+        // Drops attempts whose outcome was never reported, which would be kept forever otherwise.
         self.attempts.retain(|_, a| self.now.since(a.sent) < self.longest_deadline.saturating_mul(2));
         for attempt in self.attempts.values_mut().filter(|a| !a.abandoned) {
             let Some(server) = self.servers.get_mut(&attempt.server) else { continue };
-            let outstanding = self.outstanding.entry(attempt.server).or_default();
-            outstanding.work += attempt.work;
-            outstanding.calls.insert(attempt.call);
+            let in_flight = self.in_flight.entry(attempt.server).or_default();
+            in_flight.work += attempt.work;
+            in_flight.calls.insert(attempt.call);
             let age = self.now.since(attempt.sent).as_secs_f64() / self.unit;
             if age > attempt.overdue_after {
-                outstanding.overdue = outstanding.overdue.max(age);
+                in_flight.overdue = in_flight.overdue.max(age);
                 server.failures += f64::from(u8::from(!attempt.overdue));
                 attempt.overdue = true;
             }
@@ -740,12 +742,12 @@
     }
 
     /// Sets the features and predictions of the attempts sent in this step. Parts sent together slow each
-    /// other down, so each counts all the others sent to its server in this step as outstanding.
+    /// other down, so each counts all the others sent to its server in this step as in flight.
     fn update_sent_features(&mut self) {
         for key in std::mem::take(&mut self.sent_in_step) {
             let server = self.attempts.get(&key).and_then(|a| self.servers.get(&a.server));
             let Some(server) = server else { continue };
-            let (warmth, work) = (self.warmth(server), self.outstanding_work(server.listed.server));
+            let (warmth, work) = (self.warmth(server), self.work_in_flight(server.listed.server));
             let Some(attempt) = self.attempts.get_mut(&key) else { continue };
             attempt.features[WORK_FEATURE] = (work - attempt.work).max(0.0);
             let min_time = self.classes[attempt.class].min_time;
@@ -761,13 +763,13 @@
         (self.fit_half_life() / per_server.max(EPSILON)).clamp(self.mean_aim, self.half_life)
     }
 
-    fn outstanding_work(&self, id: ServerId) -> f64 {
-        self.outstanding.get(&id).map_or(0.0, |out| out.work) + self.planned.get(&id).map_or(0.0, |p| p.work)
+    fn work_in_flight(&self, id: ServerId) -> f64 {
+        self.in_flight.get(&id).map_or(0.0, |it| it.work) + self.planned.get(&id).map_or(0.0, |p| p.work)
     }
 
     fn features(&self, server: &Server, id: ServerId, class: usize, hint_excess: f64) -> Features {
         let cost = self.classes[class].cost;
-        Features::new(1.0, cost, self.outstanding_work(id), server.load, cost * hint_excess)
+        Features::new(1.0, cost, self.work_in_flight(id), server.load, cost * hint_excess)
     }
 
     /// The listed servers that hold a shard, by id, so that the parts of a query go to the same server where
@@ -825,23 +827,23 @@
         query: &QueryState,
         part: &PartState,
         allowed: f64,
-    ) -> Result<Candidate, Missing> {
+    ) -> Result<Candidate, MissingReason> {
         let holders = self.holders(part.shard);
         holders.iter().for_each(|id| self.refresh_server(*id));
         let (settings, min_time) = (&self.settings, self.classes[query.class].min_time);
         let server_of = |n: &u32| self.attempts.get(&(part.id, *n)).map(|a| a.server);
-        let already_at: Vec<ServerId> = part.outstanding.iter().filter_map(server_of).collect();
+        let already_at: Vec<ServerId> = part.in_flight.iter().filter_map(server_of).collect();
         let call_cost = settings.call_cost.as_secs_f64() / self.unit;
         let mut candidates: Vec<Candidate> = Vec::new();
         let unserved = query.parts.iter().filter(|p| !p.served).count().max(1) as f64;
         let spreads =
             ADMISSION_SPREADS + if self.peers_report() { SPREADS_PER_LN_PARTS * unserved.ln() } else { 0.0 };
         // The unavailable replica that ranks highest as a home, and why it is unavailable.
-        let mut unavailable: Option<(HomeRank, ServerId, Left)> = None;
+        let mut unavailable: Option<(HomeRank, ServerId, BypassReason)> = None;
         for &id in &holders {
             let Some(server) = self.servers.get(&id) else { continue };
             let (calls, overdue) =
-                self.outstanding.get(&id).map_or((0, 0.0), |out| (out.calls.len(), out.overdue));
+                self.in_flight.get(&id).map_or((0, 0.0), |it| (it.calls.len(), it.overdue));
             let planned = self.planned.get(&id).copied().unwrap_or_default();
             let crosses = settings.cross_zone_price > 0.0 && server.listed.zone != settings.zone;
             // Where calls are shared, the home depends on the query alone, so that neighbouring shards share
@@ -856,11 +858,11 @@
             };
             // A draining server remains a candidate for as long as the rules allow, with a worse score.
             let up = server.listed.state == ServerState::Up;
-            let reason = match up || server.listed.until.is_some_and(|until| self.now < until) {
-                true if already_at.contains(&id) => Some(Left::Tried),
+            let reason = match up || server.listed.send_until.is_some_and(|until| self.now < until) {
+                true if already_at.contains(&id) => Some(BypassReason::Tried),
                 true if admission != ColdAdmission::Refused => None,
-                true => Some(Left::Cold),
-                false => Some(Left::Draining),
+                true => Some(BypassReason::Cold),
+                false => Some(BypassReason::Draining),
             };
             if let Some(reason) = reason {
                 unavailable = unavailable.max(Some((home_rank, id, reason)));
@@ -868,8 +870,8 @@
             }
             let x = self.features(server, id, query.class, part.hint_excess);
             let warmth = self.warmth(server);
-            // A randomly selected cold server is charged the initial prediction, so that long queues
-            // elsewhere, which the pooled fit reflects, don't exclude it.
+            // A part sent to a cold server by random selection does not queue there, however long the queues
+            // elsewhere are, which the fit reflects: its prediction is the initial one.
             let initial_time = settings.classes[query.class].aim.as_secs_f64() / self.mean_aim;
             let fitted =
                 if selected { initial_time } else { server.fit.weights.dot(&x).max(min_time) } / warmth;
@@ -904,28 +906,31 @@
             });
         }
         candidates.sort_by(|a, b| a.tried.cmp(&b.tried).then(a.score.total_cmp(&b.score)));
-        let best = candidates.first().ok_or(Missing::Closed)?.score;
+        let best = candidates.first().ok_or(MissingReason::NoReplica)?.score;
         let home =
             candidates.iter().enumerate().max_by_key(|(_, c)| c.home_rank).map_or(0, |(index, _)| index);
         let c = &candidates[home];
-        let left = match c.score <= MAX_HOME_RATIO * best {
-            _ if c.tried => Some(if part.withdrawn { Left::Silent } else { Left::Tried }),
-            _ if c.calls > MAX_HOME_CALLS => Some(Left::Busy),
+        let bypassed = match c.score <= MAX_HOME_RATIO * best {
+            _ if c.tried => {
+                Some(if part.cancelled { BypassReason::Unresponsive } else { BypassReason::Tried })
+            }
+            _ if c.calls > MAX_HOME_CALLS => Some(BypassReason::Busy),
             true => None,
-            false if c.score <= MAX_HOME_RATIO * best * c.failure_factor => Some(Left::Doubtful),
-            false => Some(Left::Slow),
+            false if c.score <= MAX_HOME_RATIO * best * c.failure_factor => Some(BypassReason::Suspect),
+            false => Some(BypassReason::Slow),
         };
-        let available_home = (c.server, left.unwrap_or(Left::Late));
-        let (first, left_for) = unavailable
+        let available_home = (c.server, bypassed.unwrap_or(BypassReason::Late));
+        let (first, reason) = unavailable
             .filter(|(rank, ..)| *rank > c.home_rank)
             .map_or(available_home, |(_, id, reason)| (id, reason));
-        if left.is_none() {
+        if bypassed.is_none() {
             candidates[..=home].rotate_right(1);
         }
-        let mut c = candidates.into_iter().find(|c| c.upper_estimate <= allowed).ok_or(Missing::Late)?;
+        let mut c =
+            candidates.into_iter().find(|c| c.upper_estimate <= allowed).ok_or(MissingReason::Late)?;
         let (predicted, allowed) = ((c.upper_estimate * self.unit) as f32, (allowed * self.unit) as f32);
-        let left = (c.server != first).then_some(left_for);
-        c.choice = Some(Choice { home: first, left, predicted, allowed });
+        let bypassed = (c.server != first).then_some(reason);
+        c.choice = Some(Choice { home: first, bypassed, predicted, allowed });
         Ok(c)
     }
 
@@ -933,12 +938,12 @@
         let Some(mut query) = self.queries.remove(&number) else { return };
         match self.decide_query(&mut query, actions) {
             QueryDecision::KeepOpen => drop(self.queries.insert(number, query)),
-            QueryDecision::Answer { whole, cause } => {
-                actions.push(Action::Answer { query: query.id, whole, why: query.ending(cause) });
+            QueryDecision::Answer { complete, cause } => {
+                actions.push(Action::Answer { query: query.id, complete, why: query.ending(cause) });
                 self.cancel_attempts(&mut query, actions);
                 if self.settings.classes[query.class].follow_up > 0 && !query.second_step {
                     query.second_step = true;
-                    query.first_step_partial = !whole;
+                    query.first_step_partial = !complete;
                     query.parts.clear();
                     self.queries.insert(number, query);
                 }
@@ -946,14 +951,15 @@
             QueryDecision::GiveUp(cause) => {
                 let why = query.ending(cause);
                 let class = &self.settings.classes[query.class];
-                let may_have_run = |p: &PartState| p.may_have_run.is_some() || !p.outstanding.is_empty();
-                if class.effect == Effect::Safe || !query.parts.iter().any(may_have_run) {
+                let may_have_run = |p: &PartState| p.may_have_run.is_some() || !p.in_flight.is_empty();
+                if class.retry_safety == RetrySafety::Safe || !query.parts.iter().any(may_have_run) {
                     // After the aim another try may earn nothing: the client then best stays away for long.
                     let worthless =
                         self.now.after(self.reply_margin) >= query.aim_at && class.late_share == 0.0;
-                    let hold_off = if worthless { class.deadline } else { class.aim.mul_f64(HOLD_OFF_SHARE) };
-                    let (query, hold_off) = (query.id, hold_off.min(self.settings.max_hold_off));
-                    actions.push(Action::Refuse { query, hold_off, why });
+                    let retry_after =
+                        if worthless { class.deadline } else { class.aim.mul_f64(RETRY_AFTER_SHARE) };
+                    let (query, retry_after) = (query.id, retry_after.min(self.settings.max_retry_after));
+                    actions.push(Action::Refuse { query, retry_after, why });
                 } else {
                     actions.push(Action::Fail { query: query.id, why });
                 }
@@ -969,11 +975,13 @@
         let floor = if class.floor < class.need { class.floor } else { need };
         let served: f64 = query.parts.iter().filter(|p| p.served).map(|p| p.weight).sum();
         if served >= need - EPSILON && !query.parts.is_empty() {
-            return QueryDecision::Answer { whole: !query.first_step_partial, cause: Cause::Whole };
+            return QueryDecision::Answer { complete: !query.first_step_partial, cause: Cause::Complete };
         }
         let ends_at = query.ends_at.before(self.reply_margin);
-        let aim_at =
-            query.aim_at.before(self.reply_margin.saturating_add(self.settings.on_the_way)).min(ends_at);
+        let aim_at = query
+            .aim_at
+            .before(self.reply_margin.saturating_add(self.settings.network_allowance))
+            .min(ends_at);
         let partial = served >= floor - EPSILON && floor < need && served > 0.0;
         // After the aim any answer earns the late share only: a partial answer at the aim may earn more.
         let partial_worth = if partial { class.partial_worth * served / need } else { 0.0 };
@@ -984,60 +992,61 @@
         let idle_time = self.pooled_fit.weights.dot(&idle_features).max(self.classes[query.class].min_time);
         let reserve = if first_of_two { idle_time * (1.0 + OVERDUE_SPREADS * INITIAL_SPREAD) } else { 0.0 };
         let end = |cause| match partial {
-            true => QueryDecision::Answer { whole: false, cause },
+            true => QueryDecision::Answer { complete: false, cause },
             false => QueryDecision::GiveUp(cause),
         };
-        let left = target.since(self.now).as_secs_f64() / self.unit;
-        if left <= 0.0 || (partial && left <= reserve) {
+        let time_left = target.since(self.now).as_secs_f64() / self.unit;
+        if time_left <= 0.0 || (partial && time_left <= reserve) {
             return end(Cause::TimeUp);
         }
         if query.parts.is_empty() {
             return QueryDecision::KeepOpen;
         }
         (query.need, query.floor) = (need, floor);
-        self.withdraw_from_silent(query, left - reserve, actions);
-        let (reachable, pending) = self.send_parts(query, left - reserve, actions);
+        self.cancel_unresponsive(query, time_left - reserve, actions);
+        let (reachable, pending) = self.send_parts(query, time_left - reserve, actions);
         if reachable < floor - EPSILON || !pending {
-            return end(if reachable < floor - EPSILON { Cause::TooLittle } else { Cause::NothingOut });
+            return end(if reachable < floor - EPSILON { Cause::BelowFloor } else { Cause::NothingInFlight });
         }
         QueryDecision::KeepOpen
     }
 
-    /// Sends parts that have no outstanding attempt, if the reachable weight is at least the floor. Parts are
-    /// planned within `allowed` units. Returns the reachable weight, that of the parts served, outstanding or
+    /// Sends parts that have no attempt in flight, if the reachable weight is at least the floor. Parts are
+    /// planned within `allowed` units. Returns the reachable weight, that of the parts served, in flight or
     /// planned, and whether any part may still be served.
     fn send_parts(&mut self, query: &mut QueryState, allowed: f64, actions: &mut Vec<Action>) -> (f64, bool) {
-        let (mut served, mut outstanding) = (0.0, 0.0);
+        let (mut served, mut in_flight) = (0.0, 0.0);
         let mut unsent: Vec<usize> = Vec::new();
         for index in 0..query.parts.len() {
             let part = &query.parts[index];
             if part.served {
                 served += part.weight;
-            } else if !part.outstanding.is_empty() {
-                outstanding += part.weight;
+            } else if !part.in_flight.is_empty() {
+                in_flight += part.weight;
             } else if part.attempts < self.settings.max_attempts && self.may_resend(query, part) {
                 unsent.push(index);
             } else {
                 let spent = part.attempts >= self.settings.max_attempts;
-                query.parts[index].missing = if spent { Missing::Spent } else { Missing::Risk };
+                query.parts[index].missing =
+                    if spent { MissingReason::AttemptsExhausted } else { MissingReason::UnsafeToRetry };
             }
         }
         unsent.sort_by(|&a, &b| query.parts[b].weight.total_cmp(&query.parts[a].weight));
         let planned_before = self.planned.clone();
         let mut plan: Vec<(usize, Candidate)> = Vec::new();
-        let mut reachable = served + outstanding;
+        let mut reachable = served + in_flight;
         // A part that the budget keeps from being retried is lost: it is better that the client repeats its
         // query at once than that it waits.
         let mut retries_left = self.retries_left();
-        // Outstanding work goes on after a refusal: once any part is outstanding or served, a part that no
+        // Work in flight goes on after a refusal: once any part is in flight or served, a part that no
         // replica can take in time waits.
-        let begun = query.parts.iter().any(|part| part.served || !part.outstanding.is_empty());
+        let begun = query.parts.iter().any(|part| part.served || !part.in_flight.is_empty());
         let (cost, min_time) = (self.classes[query.class].cost, self.classes[query.class].min_time);
         let mut waits = false;
         for index in unsent {
             let retry = usize::from(query.parts[index].attempts > 0);
             if retry > retries_left {
-                query.parts[index].missing = Missing::Budget;
+                query.parts[index].missing = MissingReason::BudgetExhausted;
                 continue;
             }
             let allowed_share = self.allowed_share(query, index, reachable);
@@ -1052,8 +1061,8 @@
             let short_allowed = (self.shortest_aim * allowed_share + own_time).min(allowed);
             let allowed = if low_worth { short_allowed } else { allowed * allowed_share };
             let choice = self.choose_replica(query, &query.parts[index], allowed);
-            query.parts[index].missing = choice.as_ref().err().copied().unwrap_or(Missing::Held);
-            if begun && query.parts[index].missing == Missing::Late {
+            query.parts[index].missing = choice.as_ref().err().copied().unwrap_or(MissingReason::Withheld);
+            if begun && query.parts[index].missing == MissingReason::Late {
                 waits = true;
                 reachable += query.parts[index].weight;
             } else if let Ok(choice) = choice {
@@ -1067,41 +1076,49 @@
         if reachable < query.floor - EPSILON {
             return (reachable, false);
         }
-        let pending = outstanding > 0.0 || !plan.is_empty() || waits;
+        let pending = in_flight > 0.0 || !plan.is_empty() || waits;
         for (index, choice) in plan {
             self.send(query, index, &choice, actions);
         }
         (reachable, pending)
     }
 
-    /// Withdraws overdue attempts from servers that failed recently and have answered nothing since they were
+    /// Cancels overdue attempts at servers that failed recently and have answered nothing since they were
     /// sent, if another replica can serve the part well within `allowed` units.
     ///
     /// Guards against servers and connections that drop work silently: a server that is merely busy still
     /// answers earlier requests. The work of a server that was only paused is wasted, which adds to an
     /// overload: hence the conditions on recent failures and on the time left.
-    fn withdraw_from_silent(&mut self, query: &QueryState, allowed: f64, actions: &mut Vec<Action>) {
-        let min_age = self.settings.classes[query.class].aim.mul_f64(SILENT_AIM_SHARE);
+    fn cancel_unresponsive(&mut self, query: &QueryState, allowed: f64, actions: &mut Vec<Action>) {
+        let min_age = self.settings.classes[query.class].aim.mul_f64(UNRESPONSIVE_AIM_SHARE);
         let max_attempts = self.settings.max_attempts;
         for part in query.parts.iter().filter(|p| !p.served && p.attempts < max_attempts) {
-            let [number] = part.outstanding[..] else { continue };
+            let [number] = part.in_flight[..] else { continue };
             let Some(attempt) = self.attempts.get(&(part.id, number)) else { continue };
-            let is_silent = |s: &Server| {
+            let is_unresponsive = |s: &Server| {
                 s.last_answer > Time(0)
                     && s.last_answer < attempt.sent
-                    && s.expected_tries() >= SILENT_MIN_TRIES
+                    && s.expected_tries() >= UNRESPONSIVE_MIN_TRIES
             };
-            let silent = self.servers.get(&attempt.server).is_some_and(is_silent);
+            let unresponsive = self.servers.get(&attempt.server).is_some_and(is_unresponsive);
             let early = !attempt.overdue || self.now.since(attempt.sent) < min_age;
-            if !silent || early || attempt.abandoned || !self.settings.cancel || !self.may_resend(query, part)
+            if !unresponsive
+                || early
+                || attempt.abandoned
+                || !self.settings.cancel
+                || !self.may_resend(query, part)
             {
                 continue;
             }
-            if self.choose_replica(query, part, allowed * SILENT_RETRY_SHARE).is_ok_and(|c| !c.tried)
+            if self.choose_replica(query, part, allowed * UNRESPONSIVE_RETRY_SHARE).is_ok_and(|c| !c.tried)
                 && let Some(attempt) = self.attempts.get_mut(&(part.id, number))
             {
                 attempt.abandoned = true;
-                actions.push(Action::Cancel { part: part.id, attempt: number, why: Withdrawn::Silent });
+                actions.push(Action::Cancel {
+                    part: part.id,
+                    attempt: number,
+                    why: CancelReason::Unresponsive,
+                });
             }
         }
     }
@@ -1131,12 +1148,14 @@
     /// Whether another attempt can do no harm: the part is safe, keyed and within its window, or never ran.
     fn may_resend(&self, query: &QueryState, part: &PartState) -> bool {
         let sent_of = |n: &u32| self.attempts.get(&(part.id, *n)).map(|a| a.sent);
-        let outstanding = part.outstanding.iter().filter_map(sent_of).min();
-        let first = part.may_have_run.into_iter().chain(outstanding).min();
-        match (self.settings.classes[query.class].effect, first) {
-            (Effect::Safe, _) | (_, None) => true,
-            (Effect::Keyed(window), Some(first)) => self.now.after(self.reply_margin) <= first.after(window),
-            (Effect::Unsafe, Some(_)) => false,
+        let in_flight = part.in_flight.iter().filter_map(sent_of).min();
+        let first = part.may_have_run.into_iter().chain(in_flight).min();
+        match (self.settings.classes[query.class].retry_safety, first) {
+            (RetrySafety::Safe, _) | (_, None) => true,
+            (RetrySafety::Keyed(window), Some(first)) => {
+                self.now.after(self.reply_margin) <= first.after(window)
+            }
+            (RetrySafety::Unsafe, Some(_)) => false,
         }
     }
 
@@ -1178,7 +1197,7 @@
         // Guards against connections that were dropped unnoticed while idle. They are kept where new ones
         // fail.
         let idle =
-            work_before == 0.0 && !self.outstanding.contains_key(&id) && server.connections_used < idle_since;
+            work_before == 0.0 && !self.in_flight.contains_key(&id) && server.connections_used < idle_since;
         // A failure costs about half a part, as another try mostly succeeds.
         let renew = self.failure_rates.new + 2.0 * self.settings.handshake_price < self.failure_rates.reused;
         if idle && (renew || server.connections_used == Time(0)) {
@@ -1194,7 +1213,7 @@
             self.retries.push_back(now);
         }
         part.attempts += 1;
-        part.outstanding.push(number);
+        part.in_flight.push(number);
         part.tried.push(id);
         let attempt = Attempt {
             query: query.number,
@@ -1211,18 +1230,22 @@
         self.attempts.insert((part.id, number), attempt);
         let late = self.settings.classes[query.class].late_share > 0.0;
         let until = if late { query.ends_at } else { query.aim_at.min(query.ends_at) };
-        let time_out = until.since(now).max(self.settings.tick);
-        actions.push(Action::Send { part: part.id, server: id, time_out, why });
+        let timeout = until.since(now).max(self.settings.tick);
+        actions.push(Action::Send { part: part.id, server: id, timeout: timeout, why });
     }
 
     fn cancel_attempts(&mut self, query: &mut QueryState, actions: &mut Vec<Action>) {
         for part in &mut query.parts {
-            for number in part.outstanding.drain(..) {
+            for number in part.in_flight.drain(..) {
                 if let Some(attempt) = self.attempts.get_mut(&(part.id, number)) {
                     attempt.abandoned = true;
                 }
                 if self.settings.cancel {
-                    actions.push(Action::Cancel { part: part.id, attempt: number, why: Withdrawn::Over });
+                    actions.push(Action::Cancel {
+                        part: part.id,
+                        attempt: number,
+                        why: CancelReason::QueryEnded,
+                    });
                 }
             }
         }
@@ -1247,7 +1270,7 @@
 
 impl QueryState {
     fn ending(&self, cause: Cause) -> Ending {
-        let why = |p: &PartState| if p.outstanding.is_empty() { p.missing } else { Missing::Out };
+        let why = |p: &PartState| if p.in_flight.is_empty() { p.missing } else { MissingReason::InFlight };
         Ending { cause, missing: self.parts.iter().filter(|p| !p.served).map(|p| (p.id, why(p))).collect() }
     }
 }
--- a/crates/core/src/decide/avoided.rs
+++ b/crates/core/src/decide/avoided.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{
-    ADMISSION_SPREADS, INITIAL_SPREAD, MAX_HOME_RATIO, Router, RouterState, SILENT_MIN_TRIES, Server,
+    ADMISSION_SPREADS, INITIAL_SPREAD, MAX_HOME_RATIO, Router, RouterState, Server, UNRESPONSIVE_MIN_TRIES,
 };
 use crate::interface::{ServerId, ServerState, ShardId};
 
@@ -19,7 +19,7 @@
     /// Ranks it among the holders of a shard; lower is better.
     score: f64,
     /// Whether it failed recently, has an overdue attempt, or did not serve one in time.
-    doubtful: bool,
+    suspect: bool,
     /// Whether it is not expected to serve the part within the aim.
     late: bool,
 }
@@ -28,7 +28,7 @@
     /// Whether the part would not be sent there, and the server's failures contribute to that. `best` is the
     /// best score among the holders of the shard.
     fn is_avoided(&self, best: f64) -> bool {
-        self.doubtful && (self.late || self.score > MAX_HOME_RATIO * best)
+        self.suspect && (self.late || self.score > MAX_HOME_RATIO * best)
     }
 }
 
@@ -64,13 +64,13 @@
             unit: self.unit,
             mean_aim: self.mean_aim,
             half_life: self.half_life,
-            last_peer_report: self.last_peer_report,
+            last_peer_outcome: self.last_peer_outcome,
             reply_margin: self.reply_margin,
             servers: self.servers.clone(),
             servers_by_cell: self.servers_by_cell.clone(),
             pooled_fit: self.pooled_fit.clone(),
             classes: self.classes.clone(),
-            outstanding: self.outstanding.clone(),
+            in_flight: self.in_flight.clone(),
             ..RouterState::default()
         }
     }
@@ -113,8 +113,7 @@
     }
 
     fn rating(&self, id: ServerId, server: &Server, class: usize) -> Rating {
-        let (calls, overdue) =
-            self.outstanding.get(&id).map_or((0, 0.0), |out| (out.calls.len(), out.overdue));
+        let (calls, overdue) = self.in_flight.get(&id).map_or((0, 0.0), |it| (it.calls.len(), it.overdue));
         let x = self.features(server, id, class, 0.0);
         let fitted = server.fit.weights.dot(&x).max(self.classes[class].min_time) / self.warmth(server);
         let predicted = fitted.max(overdue).max(server.min_time);
@@ -126,10 +125,10 @@
             - initial_estimate;
         let upper_estimate =
             initial_estimate + excess.min(0.0) + excess.max(0.0) * 0.5_f64.powf(intervals_unused);
-        let allowed = aim.saturating_sub(self.reply_margin).saturating_sub(self.settings.on_the_way);
+        let allowed = aim.saturating_sub(self.reply_margin).saturating_sub(self.settings.network_allowance);
         Rating {
             score: predicted * server.expected_tries().powi(2),
-            doubtful: server.expected_tries() >= SILENT_MIN_TRIES
+            suspect: server.expected_tries() >= UNRESPONSIVE_MIN_TRIES
                 || overdue > 0.0
                 || server.min_time > fitted,
             late: upper_estimate > allowed.as_secs_f64() / self.unit,
--- a/crates/core/src/decide/snapshot.rs
+++ b/crates/core/src/decide/snapshot.rs
@@ -15,12 +15,12 @@
 //! | `cold_sends` of a server, `first_step_at` | yes | both processes together stay within a cold server's limit |
 //! | `connections_used`, `connection_lost` of a server | no | they describe connections, and the new process opens its own |
 //! | `listed` of a server | its start only | the new process has a list of its own; the start identifies the server's process |
-//! | `classes`, `worth_requested`, `cell_demand`, `last_peer_report` | yes | learned from the traffic |
+//! | `classes`, `worth_requested`, `cell_demand`, `last_peer_outcome` | yes | learned from the traffic |
 //! | `quotas` | what is used, not the rates | the rates come from the settings |
 //! | `accepted`, `retries` | yes | the budget of further attempts holds for both processes together |
 //! | `failure_rates` | yes | a property of the network and the servers |
 //! | `now` | as the age of the last step | the next step decays counts by the time elapsed |
-//! | `queries`, `attempts`, `outstanding`, `planned`, `sent_in_step` | no, but the ages of overdue attempts, in `min_time` | open queries stay with the old process |
+//! | `queries`, `attempts`, `in_flight`, `planned`, `sent_in_step` | no, but the ages of overdue attempts, in `min_time` | open queries stay with the old process |
 //! | `steps`, `timer_at`, `watch_at` | no | ids of timers and the subscription are the new process's own |
 //! | `settings` and what is computed from them, `seed`, `servers_by_cell` | no | given at the start, or by the list |
 
@@ -35,7 +35,7 @@
 use super::{
     CellDemand, ClassState, FEATURE_COUNT, FailureRates, Features, Fit, Router, RouterState, Server,
 };
-use crate::interface::{Listed, ServerId, Time};
+use crate::interface::{ServerEntry, ServerId, Time};
 
 /// Version of the snapshot's layout.
 pub const VERSION: u32 = 1;
@@ -285,7 +285,7 @@
 
     /// The state of a server that is new in the list: the restored one if it is of the same process, else the
     /// initial one.
-    pub(super) fn server(&mut self, listed: Listed) -> Server {
+    pub(super) fn server(&mut self, listed: ServerEntry) -> Server {
         let known = self.servers.remove(&listed.server);
         let known = known.filter(|known| is_same_start(known.listed.started, listed.started));
         Server { listed, ..known.unwrap_or_default() }
@@ -310,7 +310,7 @@
             version: VERSION,
             stepped: Age::of(now, self.now),
             born: (self.steps > 0).then(|| Age::of(now, self.first_step_at)),
-            told: self.last_peer_report.map(|at| Age::of(now, at)),
+            told: self.last_peer_outcome.map(|at| Age::of(now, at)),
             servers: self.servers.iter().map(server).collect(),
             pool: FitSnapshot::of(&self.pooled_fit, now),
             classes: classes.map(|(class, state)| ClassSnapshot::of(class.aim, state)).collect(),
@@ -327,7 +327,7 @@
     /// reported to this process alone. For the other one its age is a lower bound, as that of an attempt that
     /// ended unserved.
     fn server_snapshot(&self, id: ServerId, server: &Server, now: Time) -> ServerSnapshot {
-        let overdue = self.outstanding.get(&id).map_or(0.0, |out| out.overdue);
+        let overdue = self.in_flight.get(&id).map_or(0.0, |it| it.overdue);
         let cold_start = now.before(self.settings.cold.window);
         let cold_sends = server.cold_sends.iter().filter(|(sent, _)| *sent >= cold_start);
         ServerSnapshot {
@@ -372,7 +372,7 @@
             self.first_step_at = born.moment(now);
             self.steps = self.steps.max(1);
         }
-        self.last_peer_report = snapshot.told.map(|told| told.moment(now));
+        self.last_peer_outcome = snapshot.told.map(|told| told.moment(now));
         self.pooled_fit = snapshot.pool.fit(now);
         for (class, learned) in self.classes.iter_mut().zip(&snapshot.classes) {
             *class = ClassState { min_time: class.min_time, ..learned.state() };
@@ -441,7 +441,7 @@
         let mut cold_sends: Vec<(Time, f64)> = cold_sends.collect();
         cold_sends.sort_by_key(|(sent, _)| *sent);
         Server {
-            listed: Listed { started, ..Listed::default() },
+            listed: ServerEntry { started, ..ServerEntry::default() },
             fit: self.fit.fit(now),
             min_time: self.bound,
             load: self.report,
