--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -305,9 +305,9 @@
         self.router.restore(now, snapshot)
     }
 
-    /// Another process of this broker spends in place of this one from now on; see [`Router::hold_budgets_back`].
+    /// Another process of this broker spends in place of this one from now on; see [`Router::suspend_budgets`].
     pub fn hold_budgets_back(&mut self) {
-        self.router.hold_budgets_back();
+        self.router.suspend_budgets();
     }
 
     /// What this process has spent from `since` on; see [`Router::spending`].
@@ -315,18 +315,18 @@
         self.router.spending(now, since)
     }
 
-    /// Spends from now on, beyond what another process of this broker has spent; see [`Router::take_budgets_over`].
+    /// Spends from now on, beyond what another process of this broker has spent; see [`Router::take_over_budgets`].
     ///
     /// # Errors
     ///
     /// When what was spent holds numbers that can't be true. The core is unchanged then.
     pub fn take_budgets_over(&mut self, now: Time, spending: &Spending) -> Result<(), SnapshotError> {
-        self.router.take_budgets_over(now, spending)
+        self.router.take_over_budgets(now, spending)
     }
 
-    /// The other process has ended without telling what it has spent; see [`Router::recover_budgets`].
+    /// The other process has ended without telling what it has spent; see [`Router::limit_budget_suspension`].
     pub fn recover_budgets(&mut self, now: Time) {
-        self.router.recover_budgets(now);
+        self.router.limit_budget_suspension(now);
     }
 
     /// The listed servers that the module avoids at present; see [`Router::avoided`].
--- a/crates/core/src/decide/snapshot.rs
+++ b/crates/core/src/decide/snapshot.rs
@@ -85,7 +85,8 @@
     /// Decayed sum of absolute relative errors.
     pub errors: f64,
     /// When the sums were last decayed.
-    pub faded: Option<Age>,
+    #[serde(rename = "faded")]
+    pub decayed_at: Option<Age>,
 }
 
 /// Work sent to a server while it was cold.
@@ -115,17 +116,22 @@
     /// Its own fit.
     pub fit: FitSnapshot,
     /// Decaying lower bound of its part times, in units of the fit, from attempts that ended unserved.
-    pub bound: f64,
+    #[serde(rename = "bound")]
+    pub min_time: f64,
     /// Its last reported load.
-    pub report: f64,
+    #[serde(rename = "report")]
+    pub load: f64,
     /// Decayed count of attempts that failed or were overdue.
-    pub bad: f64,
+    #[serde(rename = "bad")]
+    pub failures: f64,
     /// Decayed count of served attempts.
-    pub good: f64,
+    #[serde(rename = "good")]
+    pub successes: f64,
     /// When something was last sent to it, or another front node last reported on it.
     pub last_sent: Option<Age>,
     /// When it last answered anything.
-    pub heard: Option<Age>,
+    #[serde(rename = "heard")]
+    pub last_answer: Option<Age>,
     /// Work sent to it while cold, within the cold window.
     pub cold_sends: Vec<ColdSend>,
 }
@@ -138,22 +144,28 @@
     /// Mean time of a part on an idle server, in units of the fit.
     pub cost: f64,
     /// Number of outcomes in that mean.
-    pub cost_count: f64,
+    #[serde(rename = "cost_count")]
+    pub cost_samples: f64,
     /// Decayed count of requested parts.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub requested: f64,
     /// Moving mean of the hints, in seconds.
-    pub hint_seconds: f64,
+    #[serde(rename = "hint_seconds")]
+    pub hint_mean_seconds: f64,
     /// Number of hints in that mean.
-    pub hint_count: f64,
+    #[serde(rename = "hint_count")]
+    pub hint_samples: f64,
     /// Time left that most tries arrive with, by majority vote, in nanoseconds.
-    pub usual_nanos: u64,
+    #[serde(rename = "usual_nanos")]
+    pub usual_time_left_nanos: u64,
     /// Votes of that majority vote.
-    pub votes: u8,
+    #[serde(rename = "votes")]
+    pub usual_votes: u8,
 }
 
 /// Number of entries of the budget's window at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entries {
+pub struct BudgetEntries {
     /// The moment.
     pub at: Age,
     /// Number of entries.
@@ -166,29 +178,38 @@
     /// Version of the layout, [`VERSION`].
     pub version: u32,
     /// When the router made its last step: decayed counts are as of that moment.
-    pub stepped: Age,
+    #[serde(rename = "stepped")]
+    pub last_step: Age,
     /// When the router, or the one it was restored from, made its first step; none if there was none.
-    pub born: Option<Age>,
+    #[serde(rename = "born")]
+    pub first_step: Option<Age>,
     /// When another front node last reported an outcome.
-    pub told: Option<Age>,
+    #[serde(rename = "told")]
+    pub last_peer_outcome: Option<Age>,
     /// What was learned of each listed server.
     pub servers: BTreeMap<ServerId, ServerSnapshot>,
     /// The fit over all servers.
-    pub pool: FitSnapshot,
+    #[serde(rename = "pool")]
+    pub pooled_fit: FitSnapshot,
     /// The classes, by index.
     pub classes: Vec<ClassSnapshot>,
     /// Recent queries within each tenant's quota, by index.
     pub quotas_used: Vec<f64>,
     /// Queries and parts accepted within the budget's window.
-    pub taken: Vec<Entries>,
+    #[serde(rename = "taken")]
+    pub accepted: Vec<BudgetEntries>,
     /// Further attempts made within the budget's window.
-    pub further: Vec<Entries>,
+    #[serde(rename = "further")]
+    pub retries: Vec<BudgetEntries>,
     /// Failure rates of attempts on connections that were idle for long, and on new ones.
-    pub ends: [f64; 2],
+    #[serde(rename = "ends")]
+    pub failure_rates: [f64; 2],
     /// Decayed worth of the requested queries.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub worth_requested: f64,
     /// Decayed counts of parts requested and sent, by the first cell that holds their shard.
-    pub cells_asked: Vec<[f64; 2]>,
+    #[serde(rename = "cells_asked")]
+    pub cell_demand: Vec<[f64; 2]>,
 }
 
 /// Why a snapshot was not restored.
@@ -245,7 +266,7 @@
     /// names it with the same start; until then it is kept aside and affects no decision.
     ///
     /// What the other router spends on cold servers and further attempts after the snapshot is reported
-    /// separately: see [`Router::take_budgets_over`].
+    /// separately: see [`Router::take_over_budgets`].
     ///
     /// # Errors
     ///
@@ -273,7 +294,7 @@
     /// Checks that the numbers are valid.
     fn check(&self) -> Result<(), SnapshotError> {
         self.cold_sends.values().try_for_each(|sends| check_cold_sends(sends))?;
-        check_entries("further", &self.further)
+        check_entries("further", &self.retries)
     }
 }
 
@@ -308,18 +329,18 @@
         let server = |(id, server): (&ServerId, &Server)| (*id, self.server_snapshot(*id, server, now));
         Snapshot {
             version: VERSION,
-            stepped: Age::of(now, self.now),
-            born: (self.steps > 0).then(|| Age::of(now, self.first_step_at)),
-            told: self.last_peer_outcome.map(|at| Age::of(now, at)),
+            last_step: Age::of(now, self.now),
+            first_step: (self.steps > 0).then(|| Age::of(now, self.first_step_at)),
+            last_peer_outcome: self.last_peer_outcome.map(|at| Age::of(now, at)),
             servers: self.servers.iter().map(server).collect(),
-            pool: FitSnapshot::of(&self.pooled_fit, now),
+            pooled_fit: FitSnapshot::of(&self.pooled_fit, now),
             classes: classes.map(|(class, state)| ClassSnapshot::of(class.aim, state)).collect(),
             quotas_used: self.quotas.iter().map(|quota| quota.used).collect(),
-            taken: Entries::of(&self.accepted, now),
-            further: Entries::of(&self.retries, now),
-            ends: [self.failure_rates.reused, self.failure_rates.new],
-            asked: self.worth_requested,
-            cells_asked: self.cell_demand.iter().map(|demand| [demand.requested, demand.sent]).collect(),
+            accepted: BudgetEntries::of(&self.accepted, now),
+            retries: BudgetEntries::of(&self.retries, now),
+            failure_rates: [self.failure_rates.reused, self.failure_rates.new],
+            worth_requested: self.worth_requested,
+            cell_demand: self.cell_demand.iter().map(|demand| [demand.requested, demand.sent]).collect(),
         }
     }
 
@@ -333,12 +354,12 @@
         ServerSnapshot {
             started: server.listed.started.map(|started| Age::of(now, started)),
             fit: FitSnapshot::of(&server.fit, now),
-            bound: server.min_time.max(overdue),
-            report: server.load,
-            bad: server.failures,
-            good: server.successes,
+            min_time: server.min_time.max(overdue),
+            load: server.load,
+            failures: server.failures,
+            successes: server.successes,
             last_sent: Age::of_event(now, server.last_sent),
-            heard: Age::of_event(now, server.last_answer),
+            last_answer: Age::of_event(now, server.last_answer),
             cold_sends: cold_sends.map(|send| ColdSend::of(*send, now)).collect(),
         }
     }
@@ -354,7 +375,7 @@
         }
         check_length("classes", snapshot.classes.len(), self.classes.len())?;
         check_length("quotas_used", snapshot.quotas_used.len(), self.quotas.len())?;
-        check_length("cells_asked", snapshot.cells_asked.len(), self.cell_demand.len())?;
+        check_length("cells_asked", snapshot.cell_demand.len(), self.cell_demand.len())?;
         let aims = self.settings.classes.iter().map(|class| saturating_nanos(class.aim));
         let mut classes = snapshot.classes.iter().zip(aims);
         match classes.position(|(class, aim)| class.aim_nanos != aim) {
@@ -365,33 +386,33 @@
 
     /// Restores a checked snapshot.
     fn restore(&mut self, now: Time, snapshot: &Snapshot) {
-        let stepped = snapshot.stepped.moment(now);
-        if let Some(born) = snapshot.born {
+        let last_step = snapshot.last_step.moment(now);
+        if let Some(first_step) = snapshot.first_step {
             // With a first step of its own, the rules for a new router would count what the old one sent
             // again.
-            self.first_step_at = born.moment(now);
+            self.first_step_at = first_step.moment(now);
             self.steps = self.steps.max(1);
         }
-        self.last_peer_outcome = snapshot.told.map(|told| told.moment(now));
-        self.pooled_fit = snapshot.pool.fit(now);
+        self.last_peer_outcome = snapshot.last_peer_outcome.map(|at| at.moment(now));
+        self.pooled_fit = snapshot.pooled_fit.fit(now);
         for (class, learned) in self.classes.iter_mut().zip(&snapshot.classes) {
             *class = ClassState { min_time: class.min_time, ..learned.state() };
         }
         for (quota, used) in self.quotas.iter_mut().zip(&snapshot.quotas_used) {
             quota.used = *used;
         }
-        self.accepted = Entries::moments(&snapshot.taken, now);
-        self.retries = Entries::moments(&snapshot.further, now);
-        let [reused, new] = snapshot.ends;
+        self.accepted = BudgetEntries::moments(&snapshot.accepted, now);
+        self.retries = BudgetEntries::moments(&snapshot.retries, now);
+        let [reused, new] = snapshot.failure_rates;
         self.failure_rates = FailureRates { reused, new };
-        self.worth_requested = snapshot.asked;
-        let demands = snapshot.cells_asked.iter();
+        self.worth_requested = snapshot.worth_requested;
+        let demands = snapshot.cell_demand.iter();
         self.cell_demand =
             demands.map(|[requested, sent]| CellDemand { requested: *requested, sent: *sent }).collect();
         self.restore_servers(now, snapshot);
         // Decaying counts are as of the old router's last step, and this one may have made a later step.
-        self.now = self.now.max(stepped);
-        self.decay(self.now.since(stepped).as_secs_f64());
+        self.now = self.now.max(last_step);
+        self.decay(self.now.since(last_step).as_secs_f64());
     }
 
     fn restore_servers(&mut self, now: Time, snapshot: &Snapshot) {
@@ -410,7 +431,7 @@
             targets: fit.targets.as_slice().to_vec(),
             count: fit.count,
             errors: fit.errors,
-            faded: Age::of_event(now, fit.decayed_at),
+            decayed_at: Age::of_event(now, fit.decayed_at),
         }
     }
 
@@ -420,7 +441,7 @@
         fit.products.copy_from_slice(&self.products);
         fit.count = self.count;
         fit.errors = self.errors;
-        fit.decayed_at = moment_or_never(self.faded, now);
+        fit.decayed_at = moment_or_never(self.decayed_at, now);
         fit
     }
 
@@ -443,12 +464,12 @@
         Server {
             listed: ServerEntry { started, ..ServerEntry::default() },
             fit: self.fit.fit(now),
-            min_time: self.bound,
-            load: self.report,
-            failures: self.bad,
-            successes: self.good,
+            min_time: self.min_time,
+            load: self.load,
+            failures: self.failures,
+            successes: self.successes,
             last_sent: moment_or_never(self.last_sent, now),
-            last_answer: moment_or_never(self.heard, now),
+            last_answer: moment_or_never(self.last_answer, now),
             cold_sends: cold_sends.into(),
             ..Server::default()
         }
@@ -456,10 +477,10 @@
 
     fn check(&self) -> Result<(), SnapshotError> {
         self.fit.check()?;
-        check_amounts("server.bound", &[self.bound])?;
-        check_finite("server.report", &[self.report])?;
-        check_amounts("server.bad", &[self.bad])?;
-        check_amounts("server.good", &[self.good])?;
+        check_amounts("server.bound", &[self.min_time])?;
+        check_finite("server.report", &[self.load])?;
+        check_amounts("server.bad", &[self.failures])?;
+        check_amounts("server.good", &[self.successes])?;
         check_cold_sends(&self.cold_sends)
     }
 }
@@ -469,24 +490,24 @@
         ClassSnapshot {
             aim_nanos: saturating_nanos(aim),
             cost: state.cost,
-            cost_count: state.cost_samples,
-            asked: state.requested,
-            hint_seconds: state.hint_mean,
-            hint_count: state.hint_samples,
-            usual_nanos: saturating_nanos(state.usual_time_left),
-            votes: state.usual_votes,
+            cost_samples: state.cost_samples,
+            requested: state.requested,
+            hint_mean_seconds: state.hint_mean,
+            hint_samples: state.hint_samples,
+            usual_time_left_nanos: saturating_nanos(state.usual_time_left),
+            usual_votes: state.usual_votes,
         }
     }
 
     fn state(&self) -> ClassState {
         ClassState {
             cost: self.cost,
-            cost_samples: self.cost_count,
-            requested: self.asked,
-            hint_mean: self.hint_seconds,
-            hint_samples: self.hint_count,
-            usual_time_left: Duration::from_nanos(self.usual_nanos),
-            usual_votes: self.votes,
+            cost_samples: self.cost_samples,
+            requested: self.requested,
+            hint_mean: self.hint_mean_seconds,
+            hint_samples: self.hint_samples,
+            usual_time_left: Duration::from_nanos(self.usual_time_left_nanos),
+            usual_votes: self.usual_votes,
             ..ClassState::default()
         }
     }
@@ -498,44 +519,45 @@
                 fault: "must be finite and above zero",
             });
         }
-        check_amounts("class.cost_count", &[self.cost_count])?;
-        check_amounts("class.asked", &[self.asked])?;
-        check_amounts("class.hint_seconds", &[self.hint_seconds])?;
-        check_amounts("class.hint_count", &[self.hint_count])
+        check_amounts("class.cost_count", &[self.cost_samples])?;
+        check_amounts("class.asked", &[self.requested])?;
+        check_amounts("class.hint_seconds", &[self.hint_mean_seconds])?;
+        check_amounts("class.hint_count", &[self.hint_samples])
     }
 }
 
-impl Entries {
-    fn of(moments: &VecDeque<Time>, now: Time) -> Vec<Entries> {
-        let mut entries: Vec<Entries> = Vec::new();
+impl BudgetEntries {
+    fn of(moments: &VecDeque<Time>, now: Time) -> Vec<BudgetEntries> {
+        let mut entries: Vec<BudgetEntries> = Vec::new();
         for moment in moments {
             let at = Age::of(now, *moment);
             match entries.last_mut() {
                 Some(last) if last.at == at => last.count += 1,
-                _ => entries.push(Entries { at, count: 1 }),
+                _ => entries.push(BudgetEntries { at, count: 1 }),
             }
         }
         entries
     }
 
-    fn moments(entries: &[Entries], now: Time) -> VecDeque<Time> {
+    fn moments(entries: &[BudgetEntries], now: Time) -> VecDeque<Time> {
         let mut sorted = entries.to_vec();
         sorted.sort_by_key(|entry| std::cmp::Reverse(entry.at));
-        let repeated = |entry: &Entries| std::iter::repeat_n(entry.at.moment(now), entry.count as usize);
+        let repeated =
+            |entry: &BudgetEntries| std::iter::repeat_n(entry.at.moment(now), entry.count as usize);
         sorted.iter().flat_map(repeated).collect()
     }
 }
 
 fn check_numbers(snapshot: &Snapshot) -> Result<(), SnapshotError> {
-    snapshot.pool.check()?;
+    snapshot.pooled_fit.check()?;
     snapshot.servers.values().try_for_each(ServerSnapshot::check)?;
     snapshot.classes.iter().try_for_each(ClassSnapshot::check)?;
     check_amounts("quotas_used", &snapshot.quotas_used)?;
-    check_amounts("ends", &snapshot.ends)?;
-    check_amounts("asked", &[snapshot.asked])?;
-    check_amounts("cells_asked", snapshot.cells_asked.as_flattened())?;
-    check_entries("taken", &snapshot.taken)?;
-    check_entries("further", &snapshot.further)
+    check_amounts("ends", &snapshot.failure_rates)?;
+    check_amounts("asked", &[snapshot.worth_requested])?;
+    check_amounts("cells_asked", snapshot.cell_demand.as_flattened())?;
+    check_entries("taken", &snapshot.accepted)?;
+    check_entries("further", &snapshot.retries)
 }
 
 fn check_length(field: &'static str, found: usize, expected: usize) -> Result<(), SnapshotError> {
@@ -561,7 +583,7 @@
     check_amounts("server.cold_sends", &work)
 }
 
-fn check_entries(field: &'static str, entries: &[Entries]) -> Result<(), SnapshotError> {
+fn check_entries(field: &'static str, entries: &[BudgetEntries]) -> Result<(), SnapshotError> {
     let sum = entries.iter().fold(0_u64, |sum, entry| sum.saturating_add(entry.count));
     let holds = sum <= MAX_BUDGET_ENTRIES;
     if holds { Ok(()) } else { Err(SnapshotError::Number { field, fault: "has too many entries" }) }
--- a/crates/core/src/decide/snapshot/budgets.rs
+++ b/crates/core/src/decide/snapshot/budgets.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{ColdSend, Entries, Router, RouterState, SnapshotError};
+use super::{BudgetEntries, ColdSend, Router, RouterState, SnapshotError};
 use crate::interface::{ServerId, Time};
 
 /// What a router has spent of its budgets since a given moment. Servers that were sent nothing while cold are
@@ -21,13 +21,14 @@
     /// Work sent to cold servers within the window of that limit.
     pub cold_sends: BTreeMap<ServerId, Vec<ColdSend>>,
     /// Further attempts within the budget's window.
-    pub further: Vec<Entries>,
+    #[serde(rename = "further")]
+    pub retries: Vec<BudgetEntries>,
 }
 
 impl Router {
-    /// Uses none of the budgets until [`Router::take_budgets_over`] or the end of
-    /// [`Router::recover_budgets`]: another process of this front node uses them.
-    pub fn hold_budgets_back(&mut self) {
+    /// Uses none of the budgets until [`Router::take_over_budgets`], or until the time that
+    /// [`Router::limit_budget_suspension`] sets: another process of this front node uses them.
+    pub fn suspend_budgets(&mut self) {
         self.0.hand_over.budgets_suspended_until = Time(u64::MAX);
     }
 
@@ -44,7 +45,7 @@
     /// # Errors
     ///
     /// When `spending` holds invalid numbers. The router is unchanged then.
-    pub fn take_budgets_over(&mut self, now: Time, spending: &Spending) -> Result<(), SnapshotError> {
+    pub fn take_over_budgets(&mut self, now: Time, spending: &Spending) -> Result<(), SnapshotError> {
         spending.check()?;
         self.0.add_spending(now, spending);
         self.0.hand_over.budgets_suspended_until = Time(0);
@@ -53,7 +54,7 @@
 
     /// Handles the end of the other process without a report of its spending: where this router's budgets are
     /// suspended, they stay so for as long as that spending may count.
-    pub fn recover_budgets(&mut self, now: Time) {
+    pub fn limit_budget_suspension(&mut self, now: Time) {
         let counts_until = now.after(self.0.settings.longest_budget_window());
         let hand_over = &mut self.0.hand_over;
         hand_over.budgets_suspended_until = hand_over.budgets_suspended_until.min(counts_until);
@@ -76,7 +77,7 @@
             }
         }
         let retries = self.retries.iter().copied().filter(|at| *at >= since).collect();
-        Spending { cold_sends, further: Entries::of(&retries, now) }
+        Spending { cold_sends, retries: BudgetEntries::of(&retries, now) }
     }
 
     fn add_spending(&mut self, now: Time, spending: &Spending) {
@@ -86,7 +87,7 @@
             server.cold_sends.extend(sends.iter().map(|send| send.moment(now)));
             server.cold_sends.make_contiguous().sort_by_key(|(sent, _)| *sent);
         }
-        self.retries.extend(Entries::moments(&spending.further, now));
+        self.retries.extend(BudgetEntries::moments(&spending.retries, now));
         self.retries.make_contiguous().sort();
     }
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -165,8 +165,8 @@
     new.step(&[Event::Servers(fleet())]);
     let again = new.router.snapshot(new.now);
     assert_eq!(again.servers, snapshot.servers);
-    assert_eq!((again.taken, again.further), (snapshot.taken, snapshot.further));
-    assert_eq!((again.classes, again.born), (snapshot.classes, snapshot.born));
+    assert_eq!((again.accepted, again.retries), (snapshot.accepted, snapshot.retries));
+    assert_eq!((again.classes, again.first_step), (snapshot.classes, snapshot.first_step));
 }
 
 /// A site with a limit on cold servers that is reached before queues there would be too long.
@@ -259,7 +259,7 @@
         fleet().into_iter().map(|l| if l.server == ServerId(3) { ServerEntry { started, ..l } } else { l });
     new.step(&[Event::Servers(list.collect())]);
     let servers = new.router.snapshot(new.now).servers;
-    assert_eq!((servers[&ServerId(3)].bad, servers[&ServerId(3)].fit.count), (0.0, 0.0));
+    assert_eq!((servers[&ServerId(3)].failures, servers[&ServerId(3)].fit.count), (0.0, 0.0));
     assert!(servers[&ServerId(1)].fit.count > 1.0);
 }
 
@@ -274,31 +274,31 @@
     let take_over = || {
         let mut new = successor(cold_site(), old.now.after(LATER_ORIGIN));
         new.router.restore(new.now, &snapshot).expect("the same settings");
-        new.router.hold_budgets_back();
+        new.router.suspend_budgets();
         new.step(&[Event::Servers(with_start(started.after(LATER_ORIGIN)))]);
         assert_eq!(flood(&mut new, 60), 0, "it has not heard what the old one has spent");
         new
     };
     let mut new = take_over();
     let mut alone = take_over();
-    old.router.hold_budgets_back();
+    old.router.suspend_budgets();
     let spending = through_json(&old.router.spending(old.now, taken));
     let mut odd = spending.clone();
     odd.cold_sends.values_mut().flatten().for_each(|send| send.work_seconds = -1.0);
-    assert!(new.router.take_budgets_over(new.now, &odd).is_err());
-    new.router.take_budgets_over(new.now, &spending).expect("sound");
+    assert!(new.router.take_over_budgets(new.now, &odd).is_err());
+    new.router.take_over_budgets(new.now, &spending).expect("sound");
     let further = flood(&mut new, 60);
     let (work, parts) = cold_work(&new);
     assert!(parts == spent + further && work <= COLD_LIMIT, "{work} s of work in {parts} parts");
     old.now = old.now.after(ms(1100));
     assert_eq!(flood(&mut old, 60), 0, "the new one spends");
-    alone.router.recover_budgets(alone.now);
+    alone.router.limit_budget_suspension(alone.now);
     assert_eq!(flood(&mut alone, 60), 0, "what the old one has spent may still count");
     alone.now = alone.now.after(ms(1100));
     assert!(flood(&mut alone, 60) > 1);
     // One that spends already goes on.
     new.now = new.now.after(ms(1100));
-    new.router.recover_budgets(new.now);
+    new.router.limit_budget_suspension(new.now);
     assert!(flood(&mut new, 60) > 1);
 }
 
@@ -352,13 +352,13 @@
         SnapshotError::Number { field, .. } => field,
         other => panic!("{other}"),
     };
-    assert_eq!(field(refused(site(), |s| s.pool.products[7] = f64::NAN)), "fit.products");
-    assert_eq!(field(refused(site(), |s| s.pool.count = -1.0)), "fit.count");
+    assert_eq!(field(refused(site(), |s| s.pooled_fit.products[7] = f64::NAN)), "fit.products");
+    assert_eq!(field(refused(site(), |s| s.pooled_fit.count = -1.0)), "fit.count");
     assert_eq!(field(refused(site(), |s| s.classes[1].cost = 0.0)), "class.cost");
-    assert_eq!(field(refused(site(), |s| s.ends[1] = f64::INFINITY)), "ends");
-    assert_eq!(field(refused(site(), |s| s.cells_asked[1][0] = f64::NAN)), "cells_asked");
-    assert_eq!(field(refused(site(), |s| s.taken[0].count = u64::MAX)), "taken");
-    let spoil = |s: &mut Snapshot| s.servers.values_mut().last().expect("servers").bad = f64::NAN;
+    assert_eq!(field(refused(site(), |s| s.failure_rates[1] = f64::INFINITY)), "ends");
+    assert_eq!(field(refused(site(), |s| s.cell_demand[1][0] = f64::NAN)), "cells_asked");
+    assert_eq!(field(refused(site(), |s| s.accepted[0].count = u64::MAX)), "taken");
+    let spoil = |s: &mut Snapshot| s.servers.values_mut().last().expect("servers").failures = f64::NAN;
     assert_eq!(field(refused(site(), spoil)), "server.bad");
 }
 
@@ -367,7 +367,7 @@
 fn a_number_that_is_none_does_not_come_through_json() {
     let (old, _) = learned();
     let mut snapshot = old.router.snapshot(old.now);
-    snapshot.asked = f64::NAN;
+    snapshot.worth_requested = f64::NAN;
     let json = serde_json::to_string(&snapshot).expect("written");
     assert!(serde_json::from_str::<Snapshot>(&json).is_err());
 }
