--- a/tests/bounds.rs
+++ b/tests/bounds.rs
@@ -1,6 +1,6 @@
-//! A long day in virtual time: whatever the core, the module and word between brokers keep is bounded by the
-//! settings, however long it goes on and however many servers come and go. The memory that is held is counted by
-//! the allocator itself, so a table that nobody thought of counts too.
+//! The memory held by the core, the router and gossip is bounded by the settings, however long a broker runs
+//! and however many servers come and go. Runs in virtual time. The allocator counts the memory held, which
+//! covers every table.
 
 use std::alloc::System;
 use std::collections::BTreeMap;
@@ -17,21 +17,22 @@
 use serde_json::json;
 
 #[global_allocator]
-static HELD: Cap<System> = Cap::new(System, usize::MAX);
+static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// The allocator counts for the whole process: one day at a time.
-static ALONE: Mutex<()> = Mutex::new(());
+/// The allocator counts for the whole process, so one simulation runs at a time.
+static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
-/// A step of the day, and how many make a quarter of it: 30 s, ten of the longest deadline.
+/// Length of a simulation step.
 const STEP: Duration = Duration::from_millis(5);
-const QUARTER: usize = 6_000;
-/// A server is replaced by another, under a new name, every so many steps: 300 in a quarter.
-const REPLACED: usize = 20;
+/// Steps in a quarter of the run: 30 s, ten times the longest deadline.
+const STEPS_PER_QUARTER: usize = 6_000;
+/// Every so many steps a server is replaced by another with a new name: 300 in a quarter.
+const STEPS_PER_REPLACEMENT: usize = 20;
 const SERVERS: u32 = 8;
 
 fn settings() -> SiteSettings {
     let config = include_str!("exchanges/config.json");
-    let mut config: serde_json::Value = serde_json::from_str(config).expect("JSON");
+    let mut config: serde_json::Value = serde_json::from_str(config).expect("valid JSON");
     let settings = &mut config["settings"];
     settings["balancers"] = 20.into();
     settings["limits"]["peers"] = true.into();
@@ -41,87 +42,99 @@
     let safety = &mut settings["safety"];
     (safety["budgetSpanNs"], safety["extraFree"], safety["repeatRatio"]) =
         (10_000_000_000_u64.into(), 5.0.into(), 0.1.into());
-    for class in settings["profiles"].as_array_mut().expect("a list") {
+    for class in settings["profiles"].as_array_mut().expect("an array") {
         (class["aimNs"], class["deadlineNs"]) = (500_000_000_u64.into(), 3_000_000_000_u64.into());
     }
-    SiteSettings::read(settings).expect("sound")
+    SiteSettings::read(settings).expect("valid settings")
 }
 
-/// What falls due in the world round the core.
-enum Due {
+/// A scheduled event outside of the core.
+enum Scheduled {
     Outcome((badgergauge::PartId, u32), Verdict),
     Deadline(badgergauge::QueryId),
     Timer(badgergauge::TimerId),
-    Gone(badgergauge::QueryId),
+    ClientGone(badgergauge::QueryId),
 }
 
-struct Day {
+struct Simulation {
     core: Core,
     now: Time,
-    due: BTreeMap<(u64, u64), Due>,
-    armed: u64,
-    asked: u64,
+    scheduled: BTreeMap<(u64, u64), Scheduled>,
+    /// Number of events scheduled so far.
+    scheduled_count: u64,
+    queries: u64,
     answered: u64,
     rng: ChaCha8Rng,
-    /// The number in the name of each cell's server.
-    names: [u64; SERVERS as usize],
-    /// Another broker of the fleet, which speaks of the servers listed here.
-    other: Gossip,
+    /// The number in the name of the server of each cell.
+    name_numbers: [u64; SERVERS as usize],
+    /// Another broker of the fleet, which gossips about the same servers.
+    peer: Gossip,
 }
 
-impl Day {
+impl Simulation {
     fn new() -> Self {
         let rng = ChaCha8Rng::seed_from_u64(11);
-        let core = Core::new(Arc::new(settings()), 5).expect("sound");
-        let other = Gossip::new(1, 20, 0.01, Duration::from_millis(500), 3).expect("many");
+        let core = Core::new(Arc::new(settings()), 5).expect("valid settings");
+        let peer =
+            Gossip::new(1, 20, 0.01, Duration::from_millis(500), 3).expect("a fleet of several brokers");
         let now = Time(1_000_000_000_000);
-        let (due, names) = (BTreeMap::new(), [0; SERVERS as usize]);
-        let mut day = Day { core, now, due, armed: 0, asked: 0, answered: 0, rng, names, other };
-        let all: Vec<Member> = (0..SERVERS).map(|cell| day.member(cell, ServerState::Up)).collect();
-        day.core.apply_server_list(true, 1, &all, None);
-        day
+        let (scheduled, name_numbers) = (BTreeMap::new(), [0; SERVERS as usize]);
+        let mut simulation = Simulation {
+            core,
+            now,
+            scheduled,
+            scheduled_count: 0,
+            queries: 0,
+            answered: 0,
+            rng,
+            name_numbers,
+            peer,
+        };
+        let all: Vec<Member> = (0..SERVERS).map(|cell| simulation.member(cell, ServerState::Up)).collect();
+        simulation.core.apply_server_list(true, 1, &all, None);
+        simulation
     }
 
     fn member(&self, cell: u32, state: ServerState) -> Member {
-        let name = format!("s{cell}-{}", self.names[cell as usize]);
+        let name = format!("s{cell}-{}", self.name_numbers[cell as usize]);
         Member { name, zone: "z".into(), cell, state, started: Some(self.now) }
     }
 
-    fn arm(&mut self, at: Time, what: Due) {
-        self.armed += 1;
-        self.due.insert((at.0, self.armed), what);
+    fn schedule(&mut self, at: Time, event: Scheduled) {
+        self.scheduled_count += 1;
+        self.scheduled.insert((at.0, self.scheduled_count), event);
     }
 
-    /// One server goes, first draining and then removed, and another comes in its cell.
+    /// Replaces the server of a cell: the old one drains and is then removed.
     fn replace(&mut self, cell: u32) {
         for state in [ServerState::Draining, ServerState::Removed] {
             let old = self.member(cell, state);
             self.core.apply_server_list(false, 2, &[old], None);
         }
-        self.names[cell as usize] += 1;
+        self.name_numbers[cell as usize] += 1;
         let new = self.member(cell, ServerState::Up);
         self.core.apply_server_list(false, 3, &[new], None);
     }
 
-    fn ask(&mut self) {
-        self.asked += 1;
+    fn send_query(&mut self) {
+        self.queries += 1;
         let class = self.rng.random_range(0..3);
         let shards = [self.rng.random_range(0..20), self.rng.random_range(20..40)];
         let query = NewQuery {
-            name: format!("q{}", self.asked),
+            name: format!("q{}", self.queries),
             class,
             tenant: 0,
             key: None,
             is_retry: self.rng.random_bool(0.1),
             time_left: Duration::from_millis(3000),
-            idempotency_key: (class == 1).then(|| format!("k{}", self.asked)),
+            idempotency_key: (class == 1).then(|| format!("k{}", self.queries)),
             body: "t".into(),
             parts: shards.map(|shard| NewPart { shard, weight: 0.5, hint: None }).to_vec(),
         };
-        let taken = self.core.accept(self.now, query, ReplyId(self.asked));
+        let taken = self.core.accept(self.now, query, ReplyId(self.queries));
         if let Some(id) = taken.ok().filter(|_| self.rng.random_bool(0.05)) {
             let leaves = self.now.after(Duration::from_millis(self.rng.random_range(1..600)));
-            self.arm(leaves, Due::Gone(id));
+            self.schedule(leaves, Scheduled::ClientGone(id));
         }
     }
 
@@ -137,87 +150,97 @@
                         8..10 => (Verdict::ConnectionLost, self.now.after(took)),
                         _ => (Verdict::Served, self.now.after(took)),
                     };
-                    self.arm(at.min(send.deadline), Due::Outcome(send.attempt, verdict));
+                    self.schedule(at.min(send.deadline), Scheduled::Outcome(send.attempt, verdict));
                 }
-                // Word takes its time; what had ended by then counts as it had.
+                // A cancelled attempt ends after 50 ms, unless its outcome is due before.
                 Command::Cancel(attempt) => {
                     let at = self.now.after(Duration::from_millis(50));
-                    self.arm(at, Due::Outcome(attempt, Verdict::Cancelled));
+                    self.schedule(at, Scheduled::Outcome(attempt, Verdict::Cancelled));
                 }
                 Command::Finish(..) => self.answered += 1,
-                Command::SetTimer(at, timer) => self.arm(at, Due::Timer(timer)),
-                Command::SetDeadline(at, query) => self.arm(at, Due::Deadline(query)),
-                // All that is sent is written at once here.
+                Command::SetTimer(at, timer) => self.schedule(at, Scheduled::Timer(timer)),
+                Command::SetDeadline(at, query) => self.schedule(at, Scheduled::Deadline(query)),
+                // Attempts are written at once here, so none can be withdrawn.
                 Command::Withdraw(_) => {}
                 Command::CloseIdle(_) | Command::Probe(_) | Command::WatchServers => {}
             }
         }
     }
 
-    /// The most that was held at a step's end in this quarter.
-    fn quarter(&mut self) -> usize {
+    /// Runs a quarter. Returns the largest number of bytes held at the end of a step.
+    fn run_quarter(&mut self) -> usize {
         let (mut most, mut commands) = (0, Vec::new());
-        for step in 0..QUARTER {
+        for step in 0..STEPS_PER_QUARTER {
             self.now = self.now.after(STEP);
-            if step % REPLACED == 0 {
-                self.replace((step / REPLACED) as u32 % SERVERS);
+            if step % STEPS_PER_REPLACEMENT == 0 {
+                self.replace((step / STEPS_PER_REPLACEMENT) as u32 % SERVERS);
             }
-            while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= self.now.0) {
+            while let Some(entry) = self.scheduled.first_entry().filter(|entry| entry.key().0 <= self.now.0) {
                 match entry.remove() {
-                    Due::Outcome(attempt, verdict) => {
+                    Scheduled::Outcome(attempt, verdict) => {
                         let value = (verdict == Verdict::Served).then(|| "v".to_owned());
                         self.core.outcome(self.now, attempt, verdict, value, LoadReport::default());
                     }
-                    Due::Deadline(query) => commands.extend(self.core.check_deadline(self.now, query)),
-                    Due::Timer(timer) => self.core.timer(timer),
-                    Due::Gone(query) => self.core.client_gone(query),
+                    Scheduled::Deadline(query) => commands.extend(self.core.check_deadline(self.now, query)),
+                    Scheduled::Timer(timer) => self.core.timer(timer),
+                    Scheduled::ClientGone(query) => self.core.client_gone(query),
                 }
             }
-            self.ask();
+            self.send_query();
             let cell = self.rng.random_range(0..SERVERS);
             let server = self.core.server_id(&self.member(cell, ServerState::Up).name);
             let (class, verdict, took) = (0, Verdict::Served, Duration::from_millis(20));
             let server = badgergauge::gossip::short_id(server);
-            self.other.record(self.now, Observation { server, class, verdict, took });
-            for (datagram, _) in self.other.take_due(self.now) {
+            self.peer.record(self.now, Observation { server, class, verdict, took });
+            for (datagram, _) in self.peer.take_due(self.now) {
                 self.core.receive_gossip(&datagram);
             }
             self.core.step(self.now, &mut commands);
             self.carry_out(&mut commands);
             drop(self.core.take_gossip(self.now));
-            most = most.max(HELD.allocated());
+            most = most.max(ALLOCATOR.allocated());
         }
         most
     }
 }
 
-// Guards the memory of a long day: each quarter takes in 6,000 queries, 300 new servers and word of thousands of
-// attempts, and the last must hold no more than the second did, by the table sizes that hash maps double by.
+// Guards against memory that grows with time: each quarter handles 6,000 queries, 300 new servers and gossip
+// about thousands of attempts. The last quarter must hold at most a tenth more than the second, which allows
+// for hash tables of doubled size, and less than 1 MiB.
 #[test]
-fn what_is_held_does_not_grow_by_the_quarter() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut day = Day::new();
-    let most: Vec<usize> = (0..4).map(|_| day.quarter()).collect();
+fn memory_does_not_grow_with_time() {
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut simulation = Simulation::new();
+    let most: Vec<usize> = (0..4).map(|_| simulation.run_quarter()).collect();
     assert!(
-        day.answered * 10 > day.asked * 8,
-        "{} of {} answered: the day is no day",
-        day.answered,
-        day.asked
+        simulation.answered * 10 > simulation.queries * 8,
+        "{} of {} answered: the load is not the one intended",
+        simulation.answered,
+        simulation.queries
     );
     assert!(most[3] < 1024 * 1024, "{most:?} bytes");
     assert!(most[3] * 10 <= most[1] * 11, "{most:?} bytes, by quarter");
 }
 
-// Guards the bound of the settings: a client that asks without end gets no more than they allow held.
+// Guards the limit on open queries: a client that sends without end cannot have more than it allows kept
+// open.
 #[test]
-fn what_is_asked_beyond_the_bound_is_not_held() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut day = Day::new();
-    let most = settings().max_open;
-    for _ in 0..most * 3 {
-        day.ask();
+fn queries_beyond_the_limit_are_not_kept() {
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut simulation = Simulation::new();
+    let limit = settings().max_open;
+    for _ in 0..limit * 3 {
+        simulation.send_query();
     }
-    // A query of two parts counts as three; one may begin under the bound and end over it.
-    assert!(day.core.open_queries() * 3 <= most + 2, "{} open of {most}", day.core.open_queries());
-    assert!(day.core.open_queries() * 3 >= most, "{} open of {most}", day.core.open_queries());
+    // A query of two parts counts as three; one may start below the limit and exceed it.
+    assert!(
+        simulation.core.open_queries() * 3 <= limit + 2,
+        "{} open of {limit}",
+        simulation.core.open_queries()
+    );
+    assert!(
+        simulation.core.open_queries() * 3 >= limit,
+        "{} open of {limit}",
+        simulation.core.open_queries()
+    );
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,6 +1,7 @@
-//! A server that has just started, and the sum of what many front nodes send it: never more in a window than the
-//! settings allow and what chance explains, few calls or many, however the traffic is spread, while front nodes are
-//! killed and start anew, and whenever each learns of the start. Computed with the module alone, on a clock of its own.
+//! Many front nodes together must not overload a server that has just started: within any window it is sent
+//! no more than the settings allow plus what chance explains. This holds for few calls and for many, for any
+//! distribution of the traffic, while front nodes are killed and restarted, and whenever each of them learns
+//! of the start. Runs the router alone in virtual time.
 
 mod common;
 
@@ -12,99 +13,118 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const TICK: u64 = 10;
-/// A front node looks at what is open so often, and at once at what comes.
-const LOOK: u64 = 50;
-/// The server starts so many milliseconds into the play, and is watched until it is warm.
-const STARTS: u64 = 3_000;
-const WARM_AFTER: u64 = 10_000;
-const MULTIPLE: f64 = 2.0;
-const FROM: f64 = 0.2;
+/// Length of a simulation step, in milliseconds.
+const TICK_MS: u64 = 10;
+/// Without events a front node makes a step at this interval, in milliseconds; with events at once.
+const REVIEW_INTERVAL_MS: u64 = 50;
+/// When the cold server starts, in milliseconds; the run ends when it is warm.
+const STARTS_AT_MS: u64 = 3_000;
+const WARM_AFTER_MS: u64 = 10_000;
+/// The server is overloaded at this multiple of its present capacity.
+const FALL_MULTIPLE: f64 = 2.0;
+/// Fraction of its capacity that the server starts with.
+const INITIAL_CAPACITY: f64 = 0.2;
 
-/// One play.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
-struct Play {
-    nodes: u32,
+struct Scenario {
+    front_nodes: u32,
     /// Work of a part, in milliseconds, on servers of one core.
-    work: u64,
-    /// What is asked, as a share of what both holders can do when warm.
+    work_ms: u64,
+    /// Requested work as a share of the capacity of both holders when warm.
     load: f64,
-    /// Share of the front nodes that is killed in the middle of the ramp, and starts anew at once.
+    /// Share of the front nodes that are killed while the server warms up, and restarted at once.
     killed: f64,
-    /// Front nodes learn of the start over so many milliseconds.
-    told_over: u64,
+    /// Front nodes learn of the start at times spread over so many milliseconds.
+    notice_spread_ms: u64,
     seed: u64,
 }
 
-struct Node {
+struct FrontNode {
     router: Router,
+    /// Queries a second.
     rate: f64,
-    told_at: u64,
-    told: bool,
+    /// When it learns of the start, in milliseconds.
+    notice_at: u64,
+    noticed: bool,
 }
 
-/// Plays it, and gives when calls came to the cold server, in milliseconds since its start.
-fn play(play: Play) -> Vec<u64> {
-    let mut rng = ChaCha8Rng::seed_from_u64(play.seed);
-    let cold =
-        ColdStart { from: FROM, warm_after: ms(WARM_AFTER), fall_multiple: MULTIPLE, window: ms(1000) };
-    let settings = Settings { front_nodes: play.nodes, shards: 1, budget: None, cold, ..settings() };
+/// Returns the times of the calls to the cold server, in milliseconds since its start.
+fn run(scenario: Scenario) -> Vec<u64> {
+    let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
+    let cold = ColdStart {
+        from: INITIAL_CAPACITY,
+        warm_after: ms(WARM_AFTER_MS),
+        fall_multiple: FALL_MULTIPLE,
+        window: ms(1000),
+    };
+    let settings =
+        Settings { front_nodes: scenario.front_nodes, shards: 1, budget: None, cold, ..settings() };
     let at = |now: u64| Time((1_000 + now) * 1_000_000);
-    let both = |started: bool| vec![up(1), ServerEntry { started: started.then_some(at(STARTS)), ..up(2) }];
-    let born = |rng: &mut ChaCha8Rng| Router::new(settings.clone(), rng.random()).expect("settings hold");
-    // Some see several times as much as others.
-    let shares: Vec<f64> = (0..play.nodes).map(|_| 0.25 + 3.0 * rng.random::<f64>().powi(3)).collect();
-    let each = play.load * 2.0 * 1000.0 / play.work as f64 / shares.iter().sum::<f64>();
-    let mut nodes: Vec<Node> = shares
+    let both_servers =
+        |started: bool| vec![up(1), ServerEntry { started: started.then_some(at(STARTS_AT_MS)), ..up(2) }];
+    let new_router =
+        |rng: &mut ChaCha8Rng| Router::new(settings.clone(), rng.random()).expect("valid settings");
+    // Some front nodes receive several times as many queries as others.
+    let shares: Vec<f64> =
+        (0..scenario.front_nodes).map(|_| 0.25 + 3.0 * rng.random::<f64>().powi(3)).collect();
+    let rate_per_share = scenario.load * 2.0 * 1000.0 / scenario.work_ms as f64 / shares.iter().sum::<f64>();
+    let mut front_nodes: Vec<FrontNode> = shares
         .iter()
         .map(|share| {
-            let told_at = STARTS + rng.random_range(0..=play.told_over);
-            Node { router: born(&mut rng), rate: share * each, told_at, told: false }
+            let notice_at = STARTS_AT_MS + rng.random_range(0..=scenario.notice_spread_ms);
+            FrontNode {
+                router: new_router(&mut rng),
+                rate: share * rate_per_share,
+                notice_at,
+                noticed: false,
+            }
         })
         .collect();
-    for node in &mut nodes {
+    for node in &mut front_nodes {
         node.router.step(at(0), &[Event::Servers(vec![up(1)])], &mut Vec::new());
     }
-    let (mut came, mut id) = (Vec::new(), 0);
-    // When each server is done with what it has, and what ends when: front node, part, attempt, when it was sent.
-    let mut busy: BTreeMap<u64, f64> = BTreeMap::new();
+    let (mut cold_calls, mut id) = (Vec::new(), 0);
+    // Until when each server is busy, and by the end of an attempt: front node, part, attempt, time of the
+    // send.
+    let mut busy_until: BTreeMap<u64, f64> = BTreeMap::new();
     let mut ends: BTreeMap<(u64, u64), (usize, u64, u32, u64)> = BTreeMap::new();
     let mut attempts: BTreeMap<u64, u32> = BTreeMap::new();
     let mut now = 0;
-    while now < STARTS + WARM_AFTER {
-        now += TICK;
-        if now == STARTS + 3_500 {
-            for node in &mut nodes {
-                if !rng.random_bool(play.killed) {
+    while now < STARTS_AT_MS + WARM_AFTER_MS {
+        now += TICK_MS;
+        if now == STARTS_AT_MS + 3_500 {
+            for node in &mut front_nodes {
+                if !rng.random_bool(scenario.killed) {
                     continue;
                 }
-                (node.router, node.told) = (born(&mut rng), false);
-                node.told_at = now;
+                (node.router, node.noticed) = (new_router(&mut rng), false);
+                node.notice_at = now;
                 node.router.step(at(now), &[Event::Servers(vec![up(1)])], &mut Vec::new());
             }
         }
-        let mut events: Vec<Vec<Event>> = nodes.iter().map(|_| Vec::new()).collect();
+        let mut events: Vec<Vec<Event>> = front_nodes.iter().map(|_| Vec::new()).collect();
         while let Some(entry) = ends.first_entry().filter(|entry| entry.key().0 <= now) {
             let (node, part, attempt, sent) = entry.remove();
             events[node].push(common::outcome(part, attempt, Verdict::Served, ms(now - sent)));
         }
-        for (number, node) in nodes.iter_mut().enumerate() {
-            if !node.told && now >= node.told_at {
-                node.told = true;
-                events[number].push(Event::Servers(both(true)));
+        for (number, node) in front_nodes.iter_mut().enumerate() {
+            if !node.noticed && now >= node.notice_at {
+                node.noticed = true;
+                events[number].push(Event::Servers(both_servers(true)));
             }
-            if rng.random_bool((node.rate * TICK as f64 / 1000.0).min(1.0)) {
+            if rng.random_bool((node.rate * TICK_MS as f64 / 1000.0).min(1.0)) {
                 id += 2;
-                let (query, left) = (QueryNumber(id), ms(3000));
-                let (class, tenant, key, repeated) = (0, 0, None, false);
+                let (query, time_left) = (QueryNumber(id), ms(3000));
+                let (class, tenant, key, is_retry) = (0, 0, None, false);
                 events[number].push(Event::Query(Query {
                     id: QueryId(id),
                     number: query,
                     class,
                     tenant,
                     key,
-                    is_retry: repeated,
-                    time_left: left,
+                    is_retry,
+                    time_left,
                 }));
                 events[number].push(Event::Part(Part {
                     id: PartId(id + 1),
@@ -114,7 +134,7 @@
                     hint: None,
                 }));
             }
-            if events[number].is_empty() && !now.is_multiple_of(LOOK) {
+            if events[number].is_empty() && !now.is_multiple_of(REVIEW_INTERVAL_MS) {
                 continue;
             }
             let mut actions = Vec::new();
@@ -122,69 +142,79 @@
             for (part, server) in sends(&actions) {
                 let attempt = attempts.entry(part).and_modify(|n| *n += 1).or_insert(0);
                 let warmth = match server {
-                    2 => (FROM + (1.0 - FROM) * (now - STARTS) as f64 / WARM_AFTER as f64).min(1.0),
+                    2 => (INITIAL_CAPACITY
+                        + (1.0 - INITIAL_CAPACITY) * (now - STARTS_AT_MS) as f64 / WARM_AFTER_MS as f64)
+                        .min(1.0),
                     _ => 1.0,
                 };
                 if server == 2 {
-                    came.push(now - STARTS);
+                    cold_calls.push(now - STARTS_AT_MS);
                 }
-                let done = busy.entry(server).or_default();
-                *done = done.max(now as f64) + play.work as f64 / warmth;
+                let done = busy_until.entry(server).or_default();
+                *done = done.max(now as f64) + scenario.work_ms as f64 / warmth;
                 ends.insert((*done as u64, part), (number, part, *attempt, now));
             }
         }
     }
-    came
+    cold_calls
 }
 
-/// The worst window: calls that came, and how many are allowed: N that the settings allow, and 2 root N + 2 for chance.
-fn worst(play: Play, came: &[u64]) -> (usize, f64) {
-    let in_window = |(first, from): (usize, &u64)| {
-        let calls = came[first..].iter().take_while(|at| **at < from + 1000).count();
-        let age = *from as f64 / WARM_AFTER as f64;
-        let n = MULTIPLE * (FROM + (1.0 - FROM) * age) * 1000.0 / play.work as f64;
-        (calls, n + 2.0 * n.sqrt() + 2.0)
+/// The window of one second with the most calls, relative to the number allowed: the calls in it and that
+/// number. N calls are allowed by the settings, and 2 sqrt(N) + 2 on top for chance.
+fn worst_window(scenario: Scenario, calls: &[u64]) -> (usize, f64) {
+    let window = |(first, from): (usize, &u64)| {
+        let in_window = calls[first..].iter().take_while(|at| **at < from + 1000).count();
+        let age = *from as f64 / WARM_AFTER_MS as f64;
+        let n = FALL_MULTIPLE * (INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age) * 1000.0
+            / scenario.work_ms as f64;
+        (in_window, n + 2.0 * n.sqrt() + 2.0)
     };
-    let over = |(calls, allowed): &(usize, f64)| *calls as f64 / allowed;
-    came.iter().enumerate().map(in_window).max_by(|a, b| over(a).total_cmp(&over(b))).unwrap_or((0, 1.0))
+    let ratio = |(calls, allowed): &(usize, f64)| *calls as f64 / allowed;
+    calls.iter().enumerate().map(window).max_by(|a, b| ratio(a).total_cmp(&ratio(b))).unwrap_or((0, 1.0))
 }
 
-// Guards cold servers against the sum of twenty, thirty and three hundred front nodes, N from two to two hundred, from
-// half of what the servers can do to three times as much (three hundred: to half as much again).
+// Guards against overloading a cold server by the sum of what 2, 20, 30 and 300 front nodes send it, where
+// the settings allow from two to two hundred calls, at loads from half the capacity to three times as much
+// (with 300 front nodes up to 1.5 times).
 #[test]
-fn many_front_nodes_together_send_a_cold_server_no_more_than_it_may_take() {
+fn many_front_nodes_do_not_overload_a_cold_server() {
     let mut used = Vec::new();
-    let calm = [(0.5, 0.0, 0), (1.0, 0.7, 0), (1.5, 0.3, 2_000)];
-    let hard = [(3.0, 0.0, 0), (3.0, 0.7, 1_000)];
-    let few =
-        [(2, 200), (20, 200), (20, 20), (30, 200), (30, 50), (30, 10)].map(|kind| (kind, [&calm[..], &hard]));
-    let many = [((300, 100), [&calm[..], &[]])];
-    for ((nodes, work), plays) in few.into_iter().chain(many) {
-        for (load, killed, told_over) in plays.concat() {
+    let moderate = [(0.5, 0.0, 0), (1.0, 0.7, 0), (1.5, 0.3, 2_000)];
+    let overload = [(3.0, 0.0, 0), (3.0, 0.7, 1_000)];
+    let few = [(2, 200), (20, 200), (20, 20), (30, 200), (30, 50), (30, 10)]
+        .map(|kind| (kind, [&moderate[..], &overload]));
+    let many = [((300, 100), [&moderate[..], &[]])];
+    for ((front_nodes, work_ms), scenarios) in few.into_iter().chain(many) {
+        for (load, killed, notice_spread_ms) in scenarios.concat() {
             for seed in 0..2 {
-                let one = Play { nodes, work, load, killed, told_over, seed };
-                let came = play(one);
-                let (calls, allowed) = worst(one, &came);
-                assert!(calls as f64 <= allowed, "{one:?}: {calls} calls in a window, {allowed:.1} allowed");
-                let able = (FROM + 1.0) / 2.0 * WARM_AFTER as f64 / work as f64;
-                used.push((load, came.len() as f64 / able));
+                let scenario = Scenario { front_nodes, work_ms, load, killed, notice_spread_ms, seed };
+                let cold_calls = run(scenario);
+                let (calls, allowed) = worst_window(scenario, &cold_calls);
+                assert!(
+                    calls as f64 <= allowed,
+                    "{scenario:?}: {calls} calls in a window, {allowed:.1} allowed"
+                );
+                let capacity = (INITIAL_CAPACITY + 1.0) / 2.0 * WARM_AFTER_MS as f64 / work_ms as f64;
+                used.push((load, cold_calls.len() as f64 / capacity));
             }
         }
     }
-    // It is used all the same: of what it can do as it warms up, by what is asked.
+    // The server is used all the same. By load: the least mean share of its capacity while it warms up.
     for (load, least) in [(0.5, 0.15), (1.0, 0.3), (1.5, 0.3), (3.0, 0.3)] {
-        let of: Vec<f64> = used.iter().filter(|(l, _)| *l == load).map(|(_, share)| *share).collect();
-        let mean = of.iter().sum::<f64>() / of.len() as f64;
-        assert!(mean >= least, "load {load}: {mean:.2} of what it can do");
+        let shares: Vec<f64> = used.iter().filter(|(l, _)| *l == load).map(|(_, share)| *share).collect();
+        let mean = shares.iter().sum::<f64>() / shares.len() as f64;
+        assert!(mean >= least, "load {load}: {mean:.2} of its capacity used");
     }
 }
 
-// The same for a figure that leaves nothing to spare: a server that falls at just what it can do.
+// Guards against a check that never fails: a burst of 50 calls a second is detected, where the server takes
+// 40 when warm.
 #[test]
-fn the_check_can_fail() {
-    let one = Play { nodes: 30, work: 50, load: 1.0, killed: 0.0, told_over: 0, seed: 1 };
+fn the_worst_window_detects_an_overload() {
+    let scenario =
+        Scenario { front_nodes: 30, work_ms: 50, load: 1.0, killed: 0.0, notice_spread_ms: 0, seed: 1 };
     let burst: Vec<u64> = (0..40).map(|call| call * 20).collect();
-    let (calls, allowed) = worst(one, &burst);
+    let (calls, allowed) = worst_window(scenario, &burst);
     assert!(calls as f64 > allowed, "{calls} of {allowed}");
-    assert_eq!(Duration::from_millis(1000), settings().cold.window, "the window that is counted");
+    assert_eq!(Duration::from_millis(1000), settings().cold.window, "the window that worst_window counts");
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The ordinary path and the six rules, one small case each.
+//! The router's decisions on the ordinary path of a query and the six safety rules, one small case each.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use common::*;
 
 #[test]
-fn answers_whole_when_every_part_is_in() {
+fn a_query_is_answered_as_complete_when_every_part_was_served() {
     let mut bench = Bench::new(settings(), vec![up(1), up(2)]);
     let (id, actions) = bench.query(0, &[0, 1]);
     assert_eq!(sends(&actions).len(), 2);
@@ -17,20 +17,20 @@
 }
 
 #[test]
-fn refuses_at_once_and_sends_nothing_when_a_needed_part_has_no_replica() {
+fn a_query_is_refused_at_once_when_a_needed_part_has_no_replica() {
     let mut settings = settings();
     settings.cells = 2;
     let mut bench = Bench::new(settings, vec![up(1)]);
     let (id, actions) = bench.query(0, &[0, 1]);
     assert!(sends(&actions).is_empty());
-    let refused = actions
-        .iter()
-        .any(|a| matches!(a, Action::Refuse { query, retry_after: hold_off, .. } if query.0 == id && !hold_off.is_zero()));
+    let refused = actions.iter().any(
+        |a| matches!(a, Action::Refuse { query, retry_after, .. } if query.0 == id && !retry_after.is_zero()),
+    );
     assert!(refused, "{actions:?}");
 }
 
 #[test]
-fn a_partial_class_is_answered_from_the_parts_that_came_by_the_aim() {
+fn a_partial_class_is_answered_at_the_aim_from_the_parts_served() {
     let mut settings = settings();
     settings.classes[0].floor = 0.5;
     settings.classes[0].partial_worth = 0.8;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn nothing_goes_to_a_draining_server() {
+fn a_draining_server_is_sent_nothing() {
     let mut bench = Bench::new(settings(), vec![up(1), up(2)]);
     let draining = ServerEntry { state: ServerState::Draining, ..up(1) };
     bench.step(&[Event::ServersChanged(vec![draining])]);
@@ -57,19 +57,20 @@
     }
 }
 
-/// A release left one holder of three: it was sent all, fell behind, and a third of the queries was refused for a
-/// second, while the one that drained stood idle for the rest of its grace. Within what is left of that it takes what
-/// the other would take much longer for; after it, and where nobody said until when, nothing.
+/// Guards against overload of the last server that holds a shard, while the others drain: it was sent
+/// everything and fell behind, and a third of the queries was refused for a second. A draining server
+/// therefore takes parts within its grace period if the other one would take much longer, and none after that
+/// period or where it is unknown.
 #[test]
-fn a_draining_server_takes_what_another_is_too_slow_for_and_only_while_it_may() {
+fn a_draining_server_takes_parts_within_its_grace_period_when_the_other_is_slow() {
     let settings = Settings { budget: None, hedging: false, ..settings() };
-    let play = |until: Option<u64>, later: bool| {
+    let run = |until: Option<u64>, relisted: bool| {
         let mut bench = Bench::new(settings.clone(), vec![up(1), up(2)]);
         let until = until.map(|span| bench.now.after(ms(span)));
         let draining = ServerEntry { state: ServerState::Draining, send_until: until, ..up(1) };
         bench.step(&[Event::ServersChanged(vec![draining.clone()])]);
-        if later {
-            // The list says so again: what was told first counts.
+        if relisted {
+            // The list reports it again with a later end: the first one applies.
             let until = Some(bench.now.after(ms(60_000)));
             bench.step(&[Event::ServersChanged(vec![ServerEntry { send_until: until, ..draining }])]);
         }
@@ -79,16 +80,21 @@
             sent.extend(sends(&bench.query(0, &[0]).1).into_iter().map(|(_, server)| (now, server)));
             bench.now = bench.now.after(ms(20));
         }
-        let old: Vec<Time> = sent.iter().filter(|(_, server)| *server == 1).map(|(at, _)| *at).collect();
-        (old, until, sent.len())
+        let to_draining: Vec<Time> =
+            sent.iter().filter(|(_, server)| *server == 1).map(|(at, _)| *at).collect();
+        (to_draining, until, sent.len())
     };
-    for (until, later) in [(None, false), (None, true), (Some(0), false), (Some(0), true)] {
-        assert_eq!(play(until, later).0, [], "until {until:?}");
+    for (until, relisted) in [(None, false), (None, true), (Some(0), false), (Some(0), true)] {
+        assert_eq!(run(until, relisted).0, [], "until {until:?}");
     }
-    for later in [false, true] {
-        let (old, until, all) = play(Some(200), later);
-        assert!(old.len() >= 2 && old.len() < all - old.len(), "{} of {all} to the old one", old.len());
-        assert!(old.iter().all(|at| Some(*at) < until), "{old:?} until {until:?}");
+    for relisted in [false, true] {
+        let (to_draining, until, all) = run(Some(200), relisted);
+        assert!(
+            to_draining.len() >= 2 && to_draining.len() < all - to_draining.len(),
+            "{} of {all} to the draining server",
+            to_draining.len()
+        );
+        assert!(to_draining.iter().all(|at| Some(*at) < until), "{to_draining:?} until {until:?}");
     }
 }
 
@@ -104,7 +110,7 @@
 }
 
 #[test]
-fn an_unsafe_part_that_never_ran_is_tried_again() {
+fn an_unsafe_part_that_never_ran_is_retried() {
     let mut settings = settings();
     settings.classes[0].retry_safety = RetrySafety::Unsafe;
     let mut bench = Bench::new(settings, vec![up(1), up(2)]);
@@ -115,30 +121,31 @@
 }
 
 #[test]
-fn further_attempts_stay_within_the_budget() {
+fn retries_stay_within_the_budget() {
     let mut bench = Bench::new(settings(), vec![up(1), up(2)]);
-    let mut further = 0;
+    let mut retries = 0;
     for _ in 0..40 {
         let (id, _) = bench.query(0, &[0]);
         for attempt in 0..4 {
-            further += sends(&bench.end(id + 1, attempt, Verdict::ConnectionLost, ms(1))).len();
+            retries += sends(&bench.end(id + 1, attempt, Verdict::ConnectionLost, ms(1))).len();
         }
     }
-    // 80 requests taken: 5 and a twentieth of them.
-    assert!((5..=9).contains(&further), "{further}");
+    // 80 queries and parts were accepted: the budget allows 5 retries and a twentieth of those 80.
+    assert!((5..=9).contains(&retries), "{retries}");
 }
 
 #[test]
-fn a_cold_server_gets_its_share_at_most() {
+fn a_cold_server_is_sent_its_share_at_most() {
     let started = ServerEntry { started: Some(Time(1_000_000_000)), ..up(1) };
     let mut bench = Bench::new(settings(), vec![started]);
-    // Room of 0.2 x 3 cores for a second, shared by two front nodes; parts count 100 ms at the start.
+    // The limit is 0.2 x 3 core seconds in a second, shared by two front nodes; a part's initial cost is 100
+    // ms.
     let sent: usize = (0..50).map(|_| sends(&bench.query(0, &[0]).1).len()).sum();
     assert!((1..=3).contains(&sent), "{sent}");
 }
 
 #[test]
-fn every_query_ends_once_before_its_client_leaves() {
+fn every_query_ends_exactly_once() {
     let mut bench = Bench::new(settings(), vec![up(1)]);
     let (_, mut actions) = bench.query(0, &[0, 1, 2, 3]);
     for _ in 0..400 {
@@ -148,7 +155,7 @@
 }
 
 #[test]
-fn a_class_that_needs_a_share_sends_all_and_answers_from_the_first() {
+fn a_class_that_needs_a_share_sends_all_parts_and_answers_from_the_first_served() {
     let mut settings = settings();
     settings.classes[0].need = 0.5;
     settings.classes[0].floor = 0.5;
@@ -179,7 +186,7 @@
 }
 
 #[test]
-fn impossible_settings_name_the_field() {
+fn invalid_settings_name_the_field() {
     let mut settings = settings();
     settings.width = 2;
     let error = Router::new(settings, 1).err().expect("must fail");
@@ -187,7 +194,7 @@
 }
 
 #[test]
-fn spans_without_end_do_no_harm() {
+fn unlimited_deadlines_do_not_overflow() {
     let mut settings = settings();
     settings.classes[0].deadline = std::time::Duration::MAX;
     let mut bench = Bench::new(settings, vec![up(1)]);
@@ -216,14 +223,14 @@
     }
 }
 
-/// What was seen: beside a class with an aim of 50 s, one with an aim of 600 ms was refused 200 times of 200, though an
-/// idle server served each part in 20 ms. Why: no part was predicted to take under a fifth of the unit, which is a
-/// share of the mean aim of all classes. With aims far apart that floor alone was more than the short aim allows. Each
-/// class now has a floor of its own.
+/// Guards against refusing a class with a short aim next to one with a long aim: with aims of 600 ms and 50
+/// s, all 200 queries of the short one were refused, though an idle server served each part in 20 ms. The
+/// least predicted time was a fifth of the fit's unit, which is a share of the mean aim, and exceeded the
+/// short aim. Each class now has its own.
 #[test]
-fn a_class_with_a_short_aim_is_served_at_rest_beside_one_with_a_long_aim() {
+fn a_class_with_a_short_aim_is_served_next_to_one_with_a_long_aim() {
     const QUERIES: u64 = 200;
-    const SHARE_SERVED: f64 = 0.99;
+    const MIN_SHARE_SERVED: f64 = 0.99;
     for (short, long) in [(1000, 60_000), (600, 50_000), (1000, 10_000), (700, 3000)] {
         let mut settings = settings();
         settings.classes =
@@ -242,7 +249,7 @@
             }
             bench.wait(ms(100));
         }
-        let least = (2.0 * QUERIES as f64 * SHARE_SERVED) as u64;
+        let least = (2.0 * QUERIES as f64 * MIN_SHARE_SERVED) as u64;
         assert!(served >= least, "aims {short} and {long} ms: {served} of {} queries served", 2 * QUERIES);
     }
 }
--- a/tests/reasons.rs
+++ b/tests/reasons.rs
@@ -1,4 +1,4 @@
-//! The reasons that the module gives with its actions: what they say is what was decided.
+//! The reasons that the router gives with its actions agree with its decisions.
 
 mod common;
 
@@ -26,8 +26,9 @@
     Settings { budget: None, hedging: false, ..common::settings() }
 }
 
-/// Where a part of shard 0 goes while all is well, and the other replica.
-fn home(bench: &mut Bench) -> (u64, u64, u64) {
+/// Sends a query with one part of shard 0 while both replicas are idle. Returns the query's id, the home
+/// replica and the other replica.
+fn send_to_home(bench: &mut Bench) -> (u64, u64, u64) {
     let (id, actions) = bench.query(0, &[0]);
     let [(server, why)] = choices(&actions)[..] else { panic!("{actions:?}") };
     assert_eq!((why.home, why.bypassed), (server, None));
@@ -36,15 +37,16 @@
 }
 
 #[test]
-fn a_part_at_home_and_a_whole_answer() {
+fn a_part_at_its_home_replica_and_a_complete_answer() {
     let mut bench = Bench::new(settings(), vec![up(1), up(2)]);
-    let (id, ..) = home(&mut bench);
+    let (id, ..) = send_to_home(&mut bench);
     let ended = ending(&bench.end(id + 1, 0, Verdict::Served, ms(50)));
     assert_eq!(ended, Some(Ending { cause: Cause::Complete, missing: vec![] }));
 }
 
-/// Queries without a key have homes of their own; `seen` gives the first reason for leaving `server`.
-fn left(bench: &mut Bench, server: u64) -> Option<BypassReason> {
+/// The first reason given for bypassing `server`, among queries of which some have it as their home replica:
+/// queries without a key have different ones.
+fn bypass_reason(bench: &mut Bench, server: u64) -> Option<BypassReason> {
     (0..40).find_map(|_| {
         let (id, actions) = bench.query(0, &[0]);
         let found =
@@ -55,21 +57,21 @@
 }
 
 #[test]
-fn draining_and_cold_homes_are_named() {
+fn bypassing_a_draining_or_cold_home_is_explained() {
     let mut draining = up(1);
     draining.state = ServerState::Draining;
     let mut bench = Bench::new(settings(), vec![draining, up(2)]);
-    assert_eq!(left(&mut bench, 1), Some(BypassReason::Draining));
-    // A part is more than a server may take that starts from nothing.
+    assert_eq!(bypass_reason(&mut bench, 1), Some(BypassReason::Draining));
+    // A server that starts without capacity may not take even one part.
     let mut cold = up(1);
     cold.started = Some(bench.now);
     let strict = ColdStart { from: 0.0, warm_after: ms(3_600_000), ..settings().cold };
     let mut bench = Bench::new(Settings { cold: strict, ..settings() }, vec![cold, up(2)]);
-    assert_eq!(left(&mut bench, 1), Some(BypassReason::Cold));
+    assert_eq!(bypass_reason(&mut bench, 1), Some(BypassReason::Cold));
 }
 
 #[test]
-fn a_doubtful_home_is_named() {
+fn bypassing_a_suspect_home_is_explained() {
     let mut bench = Bench::new(settings(), vec![up(1), up(2)]);
     for _ in 0..12 {
         let (id, actions) = bench.query(0, &[0]);
@@ -80,11 +82,11 @@
             bench.end(id + 1, 1, Verdict::Served, ms(50));
         }
     }
-    assert_eq!(left(&mut bench, 1), Some(BypassReason::Suspect));
+    assert_eq!(bypass_reason(&mut bench, 1), Some(BypassReason::Suspect));
 }
 
 #[test]
-fn a_busy_home_is_named() {
+fn bypassing_a_busy_home_is_explained() {
     let mut bench = Bench::new(settings(), vec![up(1), up(2)]);
     let found = (0..40).flat_map(|_| choices(&bench.query(0, &[0]).1)).filter_map(|(_, why)| why.bypassed);
     let found: Vec<BypassReason> = found.collect();
@@ -92,7 +94,7 @@
 }
 
 #[test]
-fn a_query_that_no_server_may_take_says_so() {
+fn a_refusal_without_any_replica_is_explained() {
     let mut bench = Bench::new(settings(), vec![]);
     let (id, actions) = bench.query(0, &[0]);
     let missing = vec![(PartId(id + 1), MissingReason::NoReplica)];
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn a_part_without_time_says_so() {
+fn a_refusal_for_lack_of_time_is_explained() {
     let mut bench = Bench::new(settings(), vec![up(1), up(2)]);
     let (id, actions) = bench.with_left(20);
     let missing = vec![(PartId(id + 1), MissingReason::Late)];
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn spent_attempts_and_parts_held_back_say_so() {
+fn exhausted_attempts_and_parts_in_flight_are_explained() {
     let settings = Settings { max_attempts: 1, ..settings() };
     let mut bench = Bench::new(settings, vec![up(1), up(2)]);
     let (id, _) = bench.query(0, &[0, 1]);
@@ -121,7 +123,7 @@
 }
 
 #[test]
-fn a_partial_answer_names_what_is_out() {
+fn a_partial_answer_names_the_parts_in_flight() {
     let class = Class { floor: 0.5, partial_worth: 0.8, late_share: 0.1, ..class() };
     let mut bench = Bench::new(Settings { classes: vec![class], ..settings() }, vec![up(1), up(2)]);
     let (id, _) = bench.query(0, &[0, 1]);
