--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -22,8 +22,8 @@
 const FEATURE_COUNT: usize = 5;
 /// Index of the server's work in flight among the features.
 const WORK_FEATURE: usize = 2;
-/// Before any outcome, a part is predicted to take this share of its class's aim. The same share of the mean
-/// aim is the time unit of the fit.
+/// Before any outcome, a part is predicted to take this share of its class's aim, the tenth that the design
+/// document states. The same share of the mean aim is the time unit of the fit.
 const INITIAL_TIME_SHARE: f64 = 0.1;
 /// Half-life of what was learned, in mean aims: long enough to average out noise.
 const HALF_LIFE_AIMS: f64 = 4.0;
@@ -56,11 +56,11 @@
 const UNRESPONSIVE_MIN_TRIES: f64 = 1.2;
 /// ... and another replica is predicted to serve the part within this share of the time left.
 const UNRESPONSIVE_RETRY_SHARE: f64 = 0.5;
-/// InFlight calls of this front node up to which the home replica is kept: one, as servers work on several
+/// Calls of this front node in flight up to which the home replica is kept: one, as servers work on several
 /// at once.
 const MAX_HOME_CALLS: usize = 1;
 /// The home replica is also bypassed when its score is over so many times the best one. A draining server's
-/// score is raised by this share.
+/// score is multiplied by one plus this number.
 const MAX_HOME_RATIO: f64 = 1.5;
 /// Factor on the price of crossing zones, when candidates are ranked by predicted time.
 const CROSS_ZONE_WEIGHT: f64 = 5.0;
@@ -84,7 +84,7 @@
 pub(crate) const RETRY_AFTER_SHARE: f64 = 0.15;
 /// Exponent of a part's worth per work, relative to the mean, in its share of the time left.
 const WORTH_EXPONENT: f64 = 0.35;
-/// The same while peers report their outcomes.
+/// The same while peers report their outcomes: parts of low worth are then dropped sooner.
 const WORTH_EXPONENT_WITH_PEERS: f64 = 0.5;
 /// Lower bound of that share, so that an idle server serves any part.
 const MIN_ALLOWED_SHARE: f64 = 0.25;
@@ -323,7 +323,7 @@
     /// Predicted time weighted for ranking; lower is better.
     score: f64,
     home_rank: HomeRank,
-    /// InFlight calls of this front node that the part would not share.
+    /// Calls of this front node in flight that the part would not share.
     calls: usize,
     /// Factor in the score for the server's recent failures.
     failure_factor: f64,
@@ -1231,7 +1231,7 @@
         let late = self.settings.classes[query.class].late_share > 0.0;
         let until = if late { query.ends_at } else { query.aim_at.min(query.ends_at) };
         let timeout = until.since(now).max(self.settings.tick);
-        actions.push(Action::Send { part: part.id, server: id, timeout: timeout, why });
+        actions.push(Action::Send { part: part.id, server: id, timeout, why });
     }
 
     fn cancel_attempts(&mut self, query: &mut QueryState, actions: &mut Vec<Action>) {
--- a/crates/core/src/decide/snapshot.rs
+++ b/crates/core/src/decide/snapshot.rs
@@ -240,12 +240,12 @@
         class: usize,
     },
     /// A number in it is invalid.
-    #[error("snapshot: {field} {fault}")]
+    #[error("snapshot: {field} {problem}")]
     Number {
         /// The field.
         field: &'static str,
         /// What is wrong with it.
-        fault: &'static str,
+        problem: &'static str,
     },
     /// The router has already accepted a query: what it learned itself would be lost.
     #[error("snapshot: the router has already accepted queries")]
@@ -516,7 +516,7 @@
         if !(self.cost.is_finite() && self.cost > 0.0) {
             return Err(SnapshotError::Number {
                 field: "class.cost",
-                fault: "must be finite and above zero",
+                problem: "must be finite and above zero",
             });
         }
         check_amounts("class.cost_count", &[self.cost_samples])?;
@@ -566,7 +566,7 @@
 
 fn check_finite(field: &'static str, numbers: &[f64]) -> Result<(), SnapshotError> {
     let holds = numbers.iter().all(|number| number.is_finite());
-    if holds { Ok(()) } else { Err(SnapshotError::Number { field, fault: "must be finite" }) }
+    if holds { Ok(()) } else { Err(SnapshotError::Number { field, problem: "must be finite" }) }
 }
 
 fn check_amounts(field: &'static str, numbers: &[f64]) -> Result<(), SnapshotError> {
@@ -574,7 +574,7 @@
     if holds {
         Ok(())
     } else {
-        Err(SnapshotError::Number { field, fault: "must be finite and not negative" })
+        Err(SnapshotError::Number { field, problem: "must be finite and not negative" })
     }
 }
 
@@ -586,7 +586,7 @@
 fn check_entries(field: &'static str, entries: &[BudgetEntries]) -> Result<(), SnapshotError> {
     let sum = entries.iter().fold(0_u64, |sum, entry| sum.saturating_add(entry.count));
     let holds = sum <= MAX_BUDGET_ENTRIES;
-    if holds { Ok(()) } else { Err(SnapshotError::Number { field, fault: "has too many entries" }) }
+    if holds { Ok(()) } else { Err(SnapshotError::Number { field, problem: "has too many entries" }) }
 }
 
 fn saturating_nanos(span: Duration) -> u64 {
