--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -9,7 +9,7 @@
 
 use crate::decide::snapshot::budgets::Spending;
 use crate::decide::snapshot::{Snapshot, SnapshotError};
-use crate::decide::{HOLD_OFF_SHARE, Router};
+use crate::decide::{RETRY_AFTER_SHARE, Router};
 use crate::gossip::{self, Gossip, Observation, short_id};
 use crate::interface::*;
 use crate::settings::{PeerSettings, SiteSettings};
@@ -309,9 +309,9 @@
     }
 
     /// Stops using the budgets, which another process of this broker uses from now on; see
-    /// [`Router::hold_budgets_back`].
+    /// [`Router::suspend_budgets`].
     pub fn suspend_budgets(&mut self) {
-        self.router.hold_budgets_back();
+        self.router.suspend_budgets();
     }
 
     /// Returns what this process has spent of its budgets from `since` on; see [`Router::spending`].
@@ -320,19 +320,19 @@
     }
 
     /// Starts using the budgets, counting what another process of this broker has spent; see
-    /// [`Router::take_budgets_over`].
+    /// [`Router::take_over_budgets`].
     ///
     /// # Errors
     ///
     /// When `spending` holds invalid numbers. The core is then unchanged.
     pub fn take_over_budgets(&mut self, now: Time, spending: &Spending) -> Result<(), SnapshotError> {
-        self.router.take_budgets_over(now, spending)
+        self.router.take_over_budgets(now, spending)
     }
 
     /// Handles the end of the other process without a report of its spending: suspended budgets stay suspended
-    /// for as long as that spending may count; see [`Router::recover_budgets`].
+    /// for as long as that spending may count; see [`Router::limit_budget_suspension`].
     pub fn limit_budget_suspension(&mut self, now: Time) {
-        self.router.recover_budgets(now);
+        self.router.limit_budget_suspension(now);
     }
 
     /// Returns the listed servers that the router currently avoids; see [`Router::avoided`].
@@ -365,7 +365,7 @@
     /// router's.
     fn retry_after(&self, class: usize) -> Duration {
         let settings = &self.settings.router;
-        settings.classes[class].aim.mul_f64(HOLD_OFF_SHARE).min(settings.max_retry_after)
+        settings.classes[class].aim.mul_f64(RETRY_AFTER_SHARE).min(settings.max_retry_after)
     }
 
     /// Accepts a query, which from then on gets exactly one final answer.
