--- a/crates/synth/src/world.rs
+++ b/crates/synth/src/world.rs
@@ -8,7 +8,7 @@
 use badgergauge_core::core::{Command, Core, Final, Member, NewPart, NewQuery, Ticket};
 use badgergauge_core::settings::SiteSettings;
 use badgergauge_core::{QueryId, ServerId, ServerState, Time, TimerId, Verdict};
-use badgergauge_trace::record::{Servers, Source, from_observed};
+use badgergauge_trace::record::{ServerNames, Source, from_observed};
 use badgergauge_trace::retain::file_name;
 use badgergauge_trace::{Header, Writer};
 use rand::{Rng, SeedableRng};
@@ -135,7 +135,7 @@
     last_step: u64,
     step_due: bool,
     writer: Option<Writer<W>>,
-    servers: Servers,
+    servers: ServerNames,
     clients: HashMap<u64, Client>,
     /// Work of parts out, by attempt: what the model servers are told.
     works: HashMap<badgergauge_core::PartId, u64>,
@@ -267,7 +267,7 @@
             last_step: 0,
             step_due: false,
             writer: Some(writer),
-            servers: Servers::new(),
+            servers: ServerNames::new(),
             clients: HashMap::new(),
             works: HashMap::new(),
         });
--- a/crates/synth/tests/tools.rs
+++ b/crates/synth/tests/tools.rs
@@ -163,7 +163,7 @@
             Event::Query(query) => Some(query),
             _ => None,
         });
-        for (query, named) in queries.zip(&record.named) {
+        for (query, named) in queries.zip(&record.query_names) {
             let Some(key) = &named.idempotency else { continue };
             if query.repeated {
                 repeats += 1;
@@ -259,7 +259,7 @@
                         keys.insert(key, mask.key(key));
                     }
                 }
-                for word in record.named.iter().filter_map(|named| named.idempotency.as_deref()) {
+                for word in record.query_names.iter().filter_map(|named| named.idempotency.as_deref()) {
                     words.extend(
                         word.as_bytes().chunks_exact(8).filter_map(|c| c.first_chunk::<8>().copied()),
                     );
@@ -314,7 +314,7 @@
     // A title-flag that was tried at two brokers.
     let (mut merged, mut tries) = (open(&[folder.at("t")]), BTreeMap::<String, Vec<(u32, String)>>::new());
     while let Some(record) = merged.next_record().expect("read") {
-        for named in record.named {
+        for named in record.query_names {
             if let Some(key) = named.idempotency {
                 tries.entry(key).or_default().push((record.source, named.name));
             }
--- a/crates/trace/src/align.rs
+++ b/crates/trace/src/align.rs
@@ -76,7 +76,7 @@
             Event::Query(query) => Some((query.id, query.repeated)),
             _ => None,
         });
-        for ((query, repeated), named) in repeats.zip(&record.named) {
+        for ((query, repeated), named) in repeats.zip(&record.query_names) {
             let Some(key) = named.idempotency.clone() else { continue };
             if repeated {
                 if let Some(cause) = self.ended.get(&key).copied().filter(|cause| cause.0 != source) {
--- a/crates/trace/src/codec.rs
+++ b/crates/trace/src/codec.rs
@@ -8,7 +8,7 @@
     QueryNumber, ServerId, ServerState, ShardId, Time, TimerId, Verdict, Withdrawn,
 };
 
-use crate::record::{Gap, Named, NotTaken, Record, Servers, Why, server_name};
+use crate::record::{Gap, NotTaken, NotTakenReason, QueryNames, Record, ServerNames, server_name};
 use crate::wire::{self, action, event};
 
 const VERDICTS: [Verdict; 8] = [
@@ -73,7 +73,7 @@
 
 impl Encoder {
     /// Adds a record. Gives about how many bytes the block has grown by.
-    pub fn add(&mut self, record: &Record, servers: &Servers) -> usize {
+    pub fn add(&mut self, record: &Record, servers: &ServerNames) -> usize {
         let time = record.time.0 as i64;
         let sequence = self.sequences.entry(record.source).or_default();
         let mut step = wire::Step {
@@ -85,14 +85,16 @@
             gap: record.gap.as_ref().map(|gap| wire::Gap {
                 first_before: record.sequence.saturating_sub(gap.first),
                 last_before: record.sequence.saturating_sub(gap.last),
-                why: gap.why.clone(),
+                why: gap.reason.clone(),
             }),
             ..wire::Step::default()
         };
-        let refused =
-            |n: &NotTaken| wire::NotTaken { class: n.class as u32, why: u32::from(n.why == Why::NameInUse) };
+        let refused = |n: &NotTaken| wire::NotTaken {
+            class: n.class as u32,
+            why: u32::from(n.reason == NotTakenReason::NameInUse),
+        };
         step.not_taken = record.not_taken.iter().map(refused).collect();
-        let mut names = record.named.iter();
+        let mut names = record.query_names.iter();
         let mut last_query = None;
         step.events.reserve_exact(record.events.len());
         for event in &record.events {
@@ -118,7 +120,7 @@
         id.wrapping_sub(std::mem::replace(&mut self.id, id)) as i64
     }
 
-    fn server(&mut self, id: ServerId, servers: &Servers) -> u32 {
+    fn server(&mut self, id: ServerId, servers: &ServerNames) -> u32 {
         let block = &mut self.block;
         *self.indexes.entry(id).or_insert_with(|| {
             block.servers.push(wire::Server { id: id.0, name: server_name(servers, id) });
@@ -129,9 +131,9 @@
     fn event<'a>(
         &mut self,
         event: &Event,
-        names: &mut impl Iterator<Item = &'a Named>,
+        names: &mut impl Iterator<Item = &'a QueryNames>,
         last_query: &mut Option<u64>,
-        servers: &Servers,
+        servers: &ServerNames,
     ) -> event::Kind {
         match event {
             Event::Query(query) => {
@@ -183,7 +185,7 @@
         }
     }
 
-    fn listing(&mut self, lines: &[Listed], servers: &Servers) -> wire::Listing {
+    fn listing(&mut self, lines: &[Listed], servers: &ServerNames) -> wire::Listing {
         let line = |line: &Listed| wire::Listed {
             server: self.server(line.server, servers),
             zone: line.zone,
@@ -203,7 +205,7 @@
         wire::Ending { cause: code(&CAUSES, &why.cause), missing: why.missing.iter().map(missing).collect() }
     }
 
-    fn action(&mut self, action: &Action, now: Time, servers: &Servers) -> action::Kind {
+    fn action(&mut self, action: &Action, now: Time, servers: &ServerNames) -> action::Kind {
         match action {
             Action::Send { part, server, time_out, why } => action::Kind::Send(wire::Send {
                 part: self.id(part.0),
@@ -265,7 +267,11 @@
 /// # Errors
 ///
 /// When it says something that no writer says; then nothing of it is given.
-pub fn decode(block: wire::Block, sources: usize, servers: &mut Servers) -> Result<Vec<Record>, Unreadable> {
+pub fn decode(
+    block: wire::Block,
+    sources: usize,
+    servers: &mut ServerNames,
+) -> Result<Vec<Record>, Unreadable> {
     let ids: Vec<ServerId> = block.servers.iter().map(|server| ServerId(server.id)).collect();
     let mut decoder = Decoder { servers: &ids, id: 0, last_query: None };
     let mut sequences: BTreeMap<u32, u64> = BTreeMap::new();
@@ -287,7 +293,7 @@
             gap: step.gap.map(|gap| Gap {
                 first: sequence.saturating_sub(gap.first_before),
                 last: sequence.saturating_sub(gap.last_before),
-                why: gap.why,
+                reason: gap.why,
             }),
             events: Vec::with_capacity(step.events.len()),
             actions: Vec::with_capacity(step.actions.len()),
@@ -295,12 +301,13 @@
         };
         decoder.last_query = None;
         for not in step.not_taken {
-            let why = known(&[Why::Full, Why::NameInUse], not.why, "an unknown refusal")?;
-            record.not_taken.push(NotTaken { class: not.class as usize, why });
+            let reason =
+                known(&[NotTakenReason::Full, NotTakenReason::NameInUse], not.why, "an unknown refusal")?;
+            record.not_taken.push(NotTaken { class: not.class as usize, reason });
         }
         // A kind that a newer writer knows is skipped, as its fields are.
         for kind in step.events.into_iter().filter_map(|event| event.kind) {
-            let event = decoder.event(kind, &mut record.named)?;
+            let event = decoder.event(kind, &mut record.query_names)?;
             record.events.push(event);
         }
         for kind in step.actions.into_iter().filter_map(|action| action.kind) {
@@ -330,7 +337,7 @@
         known(self.servers, index, "a server that the block does not name")
     }
 
-    fn event(&mut self, kind: event::Kind, named: &mut Vec<Named>) -> Result<Event, Unreadable> {
+    fn event(&mut self, kind: event::Kind, named: &mut Vec<QueryNames>) -> Result<Event, Unreadable> {
         let verdict = |code| known(&VERDICTS, code, "an unknown verdict");
         Ok(match kind {
             event::Kind::Query(query) => {
@@ -338,7 +345,7 @@
                 let number = query.number.unwrap_or(id);
                 self.last_query = Some(number);
                 let idempotency = Some(query.idempotency_key).filter(|key| !key.is_empty());
-                named.push(Named { query: QueryId(id), name: query.name, idempotency });
+                named.push(QueryNames { query: QueryId(id), name: query.name, idempotency });
                 Event::Query(Query {
                     id: QueryId(id),
                     number: QueryNumber(number),
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -25,5 +25,5 @@
 
 pub use header::Header;
 pub use read::{Damage, End, Index, OpenError, Reader};
-pub use record::{Gap, Named, NotTaken, Record, Servers, Source, Why};
+pub use record::{Gap, NotTaken, NotTakenReason, QueryNames, Record, ServerNames, Source};
 pub use write::Writer;
--- a/crates/trace/src/mask.rs
+++ b/crates/trace/src/mask.rs
@@ -40,7 +40,7 @@
                 query.key = query.key.map(|key| self.key(key));
             }
         }
-        for named in &mut record.named {
+        for named in &mut record.query_names {
             named.idempotency = named.idempotency.take().map(|word| self.word(&word));
         }
     }
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -12,7 +12,7 @@
 
 use crate::header::Header;
 use crate::read::{OpenError, Reader};
-use crate::record::{Record, Servers, Source};
+use crate::record::{Record, ServerNames, Source};
 
 /// Why files can't be read together.
 #[derive(Debug)]
@@ -136,7 +136,7 @@
     header: Header,
     inputs: Vec<Input>,
     runs: Vec<Run>,
-    servers: Servers,
+    servers: ServerNames,
     notices: BTreeSet<(PathBuf, String)>,
     window: Range<i64>,
     /// Steps that were in more than one file.
@@ -170,13 +170,13 @@
             let (bound, time) = begins;
             let (mut cursors, mut timed) = (Vec::new(), true);
             for source in &reader.header().sources {
-                let index = header.sources.iter().position(|known| known.is_run(source));
+                let index = header.sources.iter().position(|known| known.is_same_run(source));
                 let index = index.unwrap_or_else(|| {
                     header.sources.push(source.clone());
                     runs.push(Run { cursors: Vec::new(), last: 0, next: None, time: i64::MIN });
                     runs.len() - 1
                 });
-                timed &= header.sources[index].unix(Time(0)) == source.unix(Time(0));
+                timed &= header.sources[index].unix_nanos(Time(0)) == source.unix_nanos(Time(0));
                 cursors.push((index, runs[index].cursors.len()));
                 runs[index].cursors.push(Cursor { file: inputs.len(), bound, held: VecDeque::new() });
             }
@@ -195,7 +195,7 @@
             header,
             inputs,
             runs,
-            servers: Servers::new(),
+            servers: ServerNames::new(),
             notices: BTreeSet::new(),
             window,
             repeated: 0,
@@ -220,7 +220,7 @@
     }
 
     /// The servers named so far.
-    pub fn servers(&self) -> &Servers {
+    pub fn servers(&self) -> &ServerNames {
         &self.servers
     }
 
@@ -282,7 +282,7 @@
                 return Ok(behind.map(|cursor| (inputs[cursor.file].time, cursor.file)).min());
             };
             // Another file may hold an earlier step of the run, if it is not as far as this one is.
-            let time = run.cursors[at].held.front().map_or(0, |record| source.unix(record.time));
+            let time = run.cursors[at].held.front().map_or(0, |record| source.unix_nanos(record.time));
             let earlier =
                 behind.filter(|c| c.bound <= sequence && inputs[c.file].time < time.saturating_add(SLACK));
             if let Some(file) = earlier.map(|cursor| cursor.file).next() {
@@ -330,7 +330,7 @@
         }
         for record in records {
             let (run, cursor) = input.cursors[record.source as usize];
-            input.time = input.time.max(self.header.sources[run].unix(record.time));
+            input.time = input.time.max(self.header.sources[run].unix_nanos(record.time));
             let cursor = &mut self.runs[run].cursors[cursor];
             if cursor.held.is_empty() {
                 cursor.bound = cursor.bound.max(record.sequence);
--- a/crates/trace/src/read.rs
+++ b/crates/trace/src/read.rs
@@ -9,7 +9,7 @@
 use crate::codec;
 use crate::frame::{self, Frame, Head};
 use crate::header::{Header, from_wire};
-use crate::record::{Record, Servers};
+use crate::record::{Record, ServerNames};
 use crate::wire;
 use crate::write::name_hash;
 
@@ -130,7 +130,7 @@
     header: Header,
     /// Where the first block begins.
     start: u64,
-    servers: Servers,
+    servers: ServerNames,
     damage: Vec<Damage>,
     end: Option<End>,
     /// Blocks all before or all after these Unix times are skipped unread.
@@ -194,7 +194,7 @@
             version,
             header: from_wire(header),
             start,
-            servers: Servers::new(),
+            servers: ServerNames::new(),
             damage: Vec::new(),
             end: None,
             window: i64::MIN..i64::MAX,
@@ -222,7 +222,7 @@
     }
 
     /// The servers named so far.
-    pub fn servers(&self) -> &Servers {
+    pub fn servers(&self) -> &ServerNames {
         &self.servers
     }
 
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,148 +1,151 @@
-//! What a trace holds, in the terms of the decision module.
+//! The contents of a trace as Rust types: the runs that it covers and one record per step.
 
 use std::collections::BTreeMap;
 
 use badgergauge_core::core::{self, Observed};
 use badgergauge_core::{Action, Event, QueryId, ServerId, Time};
 
-/// Whose records these are: one run of one broker. Two are the same run if broker and run agree.
+/// One run of one broker, and what is needed to interpret its records. The pair of `broker` and `run`
+/// identifies it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Source {
     /// The broker's name.
     pub broker: String,
-    /// New with each start.
+    /// Identifier of the run; each start of the broker gets a new one.
     pub run: u64,
-    /// Unix time of the zero of the broker's clock, in nanoseconds; fixed for a run.
+    /// Unix time of the zero of the broker's clock, in nanoseconds; constant during a run.
     pub unix_at_zero: i64,
-    /// Digest of the settings' text.
+    /// BLAKE3 digest of the settings' text.
     pub settings_digest: Vec<u8>,
     /// Names of the classes, by index.
     pub classes: Vec<String>,
     /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// The settings as JSON; empty where they were left out.
+    /// The settings as JSON; empty if they were left out.
     pub settings: String,
-    /// What the run's random numbers came from.
+    /// Seed of the run's random number generator.
     pub seed: u64,
-    /// Share of each class's queries that is on record; empty where all are.
+    /// Share of each class's queries that is recorded, by class index; empty if all are.
     pub sample: Vec<f64>,
-    /// What merging has added to the times, in nanoseconds.
+    /// Clock correction in nanoseconds that merging has added to this source's times.
     pub moved: i64,
 }
 
 impl Source {
-    /// The digest of a settings' text.
+    /// Returns the BLAKE3 digest of a settings text.
     pub fn digest(settings: &str) -> Vec<u8> {
         blake3::hash(settings.as_bytes()).as_bytes().to_vec()
     }
 
-    /// Unix time of a moment, in nanoseconds, with what merging has added.
-    pub fn unix(&self, time: Time) -> i64 {
+    /// Converts a time on the broker's clock to Unix time in nanoseconds, including the clock correction
+    /// from merging.
+    pub fn unix_nanos(&self, time: Time) -> i64 {
         let time = i64::try_from(time.0).unwrap_or(i64::MAX);
         time.saturating_add(self.unix_at_zero).saturating_add(self.moved)
     }
 
-    /// Whether both are of the same run of the same broker.
-    pub fn is_run(&self, other: &Source) -> bool {
+    /// Returns whether both describe the same run of the same broker.
+    pub fn is_same_run(&self, other: &Source) -> bool {
         self.broker == other.broker && self.run == other.run
     }
 
-    /// Whether every query is on record.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether every query is recorded, that is, no class is sampled.
+    pub fn is_unsampled(&self) -> bool {
         self.sample.iter().all(|share| *share >= 1.0)
     }
 
-    /// The name of a class.
-    pub fn class(&self, index: usize) -> &str {
+    /// Returns the name of a class, or `?` if the index is unknown.
+    pub fn class_name(&self, index: usize) -> &str {
         self.classes.get(index).map_or("?", String::as_str)
     }
 }
 
-/// The names of a query: the module knows it by number alone.
+/// The external names of a query. The decision module identifies queries by number only.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Named {
+pub struct QueryNames {
     /// The query.
     pub query: QueryId,
     /// Its external name.
     pub name: String,
-    /// Its idempotency key, in a keyed class.
+    /// Its idempotency key, if its class is keyed.
     pub idempotency: Option<String>,
 }
 
 /// Why a query was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// As many were open as may be.
+pub enum NotTakenReason {
+    /// The limit of open queries was reached.
     Full,
-    /// One of its name was open.
+    /// A query of the same name was open.
     NameInUse,
 }
 
-/// A query that was not taken: the module never saw it.
+/// A query that the broker did not take; the decision module never received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotTaken {
-    /// Its class.
+    /// Index of its class.
     pub class: usize,
-    /// Why not.
-    pub why: Why,
+    /// Why it was not taken.
+    pub reason: NotTakenReason,
 }
 
-/// Steps that are missing before one, both ends included.
+/// A range of steps that are missing before a record, both ends included.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gap {
-    /// The first that is missing.
+    /// Sequence number of the first missing step.
     pub first: u64,
-    /// The last.
+    /// Sequence number of the last missing step.
     pub last: u64,
-    /// Why.
-    pub why: String,
+    /// Why the steps are missing.
+    pub reason: String,
 }
 
-/// One step of one broker: all that it was told at a moment, and all that it decided.
+/// One step of one broker: the events that the decision module received at one time, and the actions that it
+/// returned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
-    /// Whose: index in the trace's sources.
+    /// Index of the run in the header's sources.
     pub source: u32,
-    /// Its number in the run, from 1.
+    /// Sequence number of the step in its run, from 1.
     pub sequence: u64,
-    /// When, on the broker's clock.
+    /// Time of the step on the broker's clock.
     pub time: Time,
-    /// What the module was told, in order.
+    /// Events that the module received, in order.
     pub events: Vec<Event>,
-    /// What it asked for, in order.
+    /// Actions that it returned, in order.
     pub actions: Vec<Action>,
-    /// The names of the queries among the events, in their order.
-    pub named: Vec<Named>,
-    /// Versions of the lists among the events, in their order.
+    /// Names of the queries among the events, in the same order.
+    pub query_names: Vec<QueryNames>,
+    /// Versions of the server lists among the events, in the same order.
     pub versions: Vec<u64>,
-    /// Queries that were not taken meanwhile.
+    /// Queries that were not taken since the previous step.
     pub not_taken: Vec<NotTaken>,
-    /// Steps missing before this one.
+    /// Steps that are missing before this one.
     pub gap: Option<Gap>,
-    /// What the broker says of itself, such as that it stops.
+    /// Note by the broker about itself, for example that it is stopping.
     pub note: String,
 }
 
-/// Names of servers.
-pub type Servers = BTreeMap<ServerId, String>;
+/// Server names by id.
+pub type ServerNames = BTreeMap<ServerId, String>;
 
-/// The name of a server, or its number where none is known.
-pub fn server_name(servers: &Servers, id: ServerId) -> String {
+/// Returns the name of a server, or a name made from its id if none is known.
+pub fn server_name(servers: &ServerNames, id: ServerId) -> String {
     servers.get(&id).cloned().unwrap_or_else(|| format!("server-{:x}", id.0))
 }
 
-/// A step as a core tells of it, as a record of the first source.
+/// Converts a step observed in the core to a record of the first source, with the server names that it brought.
 pub fn from_observed(observed: Observed) -> (Record, Vec<(ServerId, String)>) {
-    let named = |names: core::Names| Named {
+    let query_names = |names: core::Names| QueryNames {
         query: names.query,
         name: names.name.to_string(),
-        idempotency: names.idempotency.map(|word| word.to_string()),
+        idempotency: names.idempotency.map(|key| key.to_string()),
     };
-    let not_taken = |(class, why): (usize, core::NotTaken)| NotTaken {
+    let not_taken = |(class, reason): (usize, core::NotTaken)| NotTaken {
         class,
-        why: match why {
-            core::NotTaken::Full { .. } => Why::Full,
-            core::NotTaken::NameInUse => Why::NameInUse,
+        reason: match reason {
+            core::NotTaken::Full { .. } => NotTakenReason::Full,
+            core::NotTaken::NameInUse => NotTakenReason::NameInUse,
         },
     };
     let record = Record {
@@ -151,7 +154,7 @@
         time: observed.now,
         events: observed.events,
         actions: observed.actions,
-        named: observed.named.into_iter().map(named).collect(),
+        query_names: observed.named.into_iter().map(query_names).collect(),
         versions: observed.versions,
         not_taken: observed.not_taken.into_iter().map(not_taken).collect(),
         gap: None,
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -13,7 +13,7 @@
 use badgergauge_core::ServerId;
 
 use crate::header::Header;
-use crate::record::{Gap, Record, Servers, Source};
+use crate::record::{Gap, Record, ServerNames, Source};
 use crate::retain::{Do, Keeper, Limits, file_name, is_own};
 use crate::sample::Sampler;
 use crate::write::Writer;
@@ -149,7 +149,7 @@
             keeper,
             sampler: Sampler::new(plan.source.sample.clone()),
             source: plan.source,
-            servers: Servers::new(),
+            servers: ServerNames::new(),
             file: None,
             started: Instant::now(),
             counts: counts.clone(),
@@ -181,8 +181,11 @@
         if let Message::Step(record, names) = message {
             (gap, self.names) = (record.gap, names);
         }
-        let before =
-            gap.unwrap_or_else(|| Gap { first: sequence, last: sequence, why: "the queue was full".into() });
+        let before = gap.unwrap_or_else(|| Gap {
+            first: sequence,
+            last: sequence,
+            reason: "the queue was full".into(),
+        });
         self.lost = Some(Gap { last: sequence, ..before });
         let count = self.counts.queue_full.fetch_add(1, Ordering::Relaxed) + 1;
         if self.said.is_none_or(|said| said.elapsed() >= SAY) {
@@ -219,7 +222,7 @@
     keeper: Keeper,
     sampler: Sampler,
     source: Source,
-    servers: Servers,
+    servers: ServerNames,
     file: Option<(String, Writer<Box<dyn Write + Send>>)>,
     started: Instant,
     counts: Arc<Counts>,
@@ -243,7 +246,7 @@
                 }
                 Ok(Message::Close(gap)) => {
                     if let Some(gap) = gap {
-                        self.keeper.lose(gap.first, gap.last, &gap.why);
+                        self.keeper.lose(gap.first, gap.last, &gap.reason);
                     }
                     break;
                 }
@@ -265,7 +268,7 @@
 
     fn step(&mut self, mut record: Record) {
         if let Some(gap) = record.gap.take() {
-            self.keeper.lose(gap.first, gap.last, &gap.why);
+            self.keeper.lose(gap.first, gap.last, &gap.reason);
         }
         if !self.sampler.thin(&mut record) {
             return;
@@ -351,8 +354,8 @@
             self.closed_records += writer.written();
             self.keeper.closed(name, writer.size());
         }
-        if let Some(Gap { first, last, why }) = under_way.and_then(|record| record.gap.as_ref()) {
-            self.keeper.lose(*first, *last, why);
+        if let Some(Gap { first, last, reason }) = under_way.and_then(|record| record.gap.as_ref()) {
+            self.keeper.lose(*first, *last, reason);
         }
         let lost = pending.into_iter().chain(under_way.map(|record| (record.sequence, record.sequence)));
         for (first, last) in lost {
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -74,7 +74,7 @@
         if masked {
             return Err(Unverifiable::Masked);
         }
-        if !source.is_whole() {
+        if !source.is_unsampled() {
             return Err(Unverifiable::Sampled);
         }
         if Source::digest(&source.settings) != source.settings_digest {
@@ -115,7 +115,7 @@
                 self.names.remove(&query.0);
             }
         }
-        self.names.extend(record.named.iter().map(|named| (named.query.0, named.name.clone())));
+        self.names.extend(record.query_names.iter().map(|named| (named.query.0, named.name.clone())));
         self.actions.clear();
         // A note at the broker's end comes without a step of the module's.
         if !record.events.is_empty() || !record.actions.is_empty() {
--- a/crates/trace/src/retain.rs
+++ b/crates/trace/src/retain.rs
@@ -134,7 +134,7 @@
         self.open = None;
         self.failed = Some((now + wait, times + 1, why.to_owned()));
         if let Some(gap) = self.riding.take() {
-            self.lose(gap.first, gap.last, &gap.why);
+            self.lose(gap.first, gap.last, &gap.reason);
         }
         wait
     }
@@ -144,12 +144,12 @@
         match &mut self.lost {
             Some(gap) => {
                 (gap.first, gap.last) = (gap.first.min(first), gap.last.max(last));
-                if !gap.why.contains(why) && gap.why.len() < 200 {
-                    gap.why.push_str("; ");
-                    gap.why.push_str(why);
+                if !gap.reason.contains(why) && gap.reason.len() < 200 {
+                    gap.reason.push_str("; ");
+                    gap.reason.push_str(why);
                 }
             }
-            None => self.lost = Some(Gap { first, last, why: why.to_owned() }),
+            None => self.lost = Some(Gap { first, last, reason: why.to_owned() }),
         }
     }
 
@@ -235,7 +235,7 @@
         keeper.lose(11, 12, "the queue was full");
         assert_eq!(keeper.step(s(11), 0), Do::Open);
         let gap = keeper.take_lost().expect("lost");
-        assert_eq!((gap.first, gap.last, gap.why.as_str()), (5, 12, "disk: full; the queue was full"));
+        assert_eq!((gap.first, gap.last, gap.reason.as_str()), (5, 12, "disk: full; the queue was full"));
         assert_eq!(keeper.take_lost(), None);
         // Opening a file proves nothing; writing to it does.
         keeper.opened(s(11));
@@ -254,7 +254,7 @@
         keeper.failed(s(1), "disk: full");
         keeper.lose(10, 12, "disk: full");
         let gap = keeper.take_lost().expect("lost");
-        assert_eq!((gap.first, gap.last, gap.why.as_str()), (5, 12, "the queue was full; disk: full"));
+        assert_eq!((gap.first, gap.last, gap.reason.as_str()), (5, 12, "the queue was full; disk: full"));
         keeper.flushed(s(2));
         keeper.failed(s(3), "disk: full");
         assert_eq!(keeper.take_lost(), None);
--- a/crates/trace/src/sample.rs
+++ b/crates/trace/src/sample.rs
@@ -41,7 +41,7 @@
             |event: &Event| query_of_event(&self.tracker, event).is_none_or(|query| self.keeps(query));
         record.events.retain(event);
         record.actions.retain(|a| query_of_action(&self.tracker, a).is_none_or(|query| self.keeps(query)));
-        record.named.retain(|named| self.keeps(named.query));
+        record.query_names.retain(|named| self.keeps(named.query));
         // Timers are of use to a replay alone, which a sample can't give.
         record.events.retain(|event| !matches!(event, Event::Timer(_)));
         record.actions.retain(|action| !matches!(action, badgergauge_core::Action::SetTimer { .. }));
--- a/crates/trace/src/story.rs
+++ b/crates/trace/src/story.rs
@@ -8,7 +8,7 @@
 };
 use serde_json::{Value, json};
 
-use crate::record::{Record, Servers, Source, Why, server_name};
+use crate::record::{NotTakenReason, Record, ServerNames, Source, server_name};
 use crate::track::{Tracker, query_of_action, query_of_event};
 
 /// A line of a story.
@@ -171,21 +171,21 @@
     }
 
     /// Takes note of a record and gives its lines.
-    pub fn tell(&mut self, record: &Record, source: &Source, servers: &Servers) -> Vec<Line> {
+    pub fn tell(&mut self, record: &Record, source: &Source, servers: &ServerNames) -> Vec<Line> {
         self.see(record);
         self.lines(record, source, servers)
     }
 
     /// The lines of a record that was taken note of, in order.
-    pub fn lines(&self, record: &Record, source: &Source, servers: &Servers) -> Vec<Line> {
+    pub fn lines(&self, record: &Record, source: &Source, servers: &ServerNames) -> Vec<Line> {
         let mut lines = Vec::new();
         let mut plain = |text: String, json: Value, reasons: Vec<&'static str>| {
             lines.push(Line { text, json, query: None, class: None, servers: vec![], reasons });
         };
         if let Some(gap) = &record.gap {
             plain(
-                format!("steps {} to {} are missing: {}", gap.first, gap.last, gap.why),
-                json!({"kind": "gap", "first": gap.first, "last": gap.last, "why": gap.why}),
+                format!("steps {} to {} are missing: {}", gap.first, gap.last, gap.reason),
+                json!({"kind": "gap", "first": gap.first, "last": gap.last, "why": gap.reason}),
                 vec![],
             );
         }
@@ -193,10 +193,10 @@
             plain(record.note.clone(), json!({"kind": "note", "text": record.note}), vec![]);
         }
         for not in &record.not_taken {
-            let class = source.class(not.class);
-            let why = match not.why {
-                Why::Full => "as many are open as may be",
-                Why::NameInUse => "one of its name is open",
+            let class = source.class_name(not.class);
+            let why = match not.reason {
+                NotTakenReason::Full => "as many are open as may be",
+                NotTakenReason::NameInUse => "one of its name is open",
             };
             plain(
                 format!("a {class} is not taken: {why}"),
@@ -204,7 +204,7 @@
                 vec!["not-taken"],
             );
         }
-        let mut named = record.named.iter();
+        let mut named = record.query_names.iter();
         let mut versions = record.versions.iter();
         for event in &record.events {
             let (text, json, about) = self.event(event, &mut named, &mut versions, source, servers);
@@ -245,17 +245,17 @@
     fn event<'a>(
         &self,
         event: &Event,
-        named: &mut impl Iterator<Item = &'a crate::record::Named>,
+        named: &mut impl Iterator<Item = &'a crate::record::QueryNames>,
         versions: &mut impl Iterator<Item = &'a u64>,
         source: &Source,
-        servers: &Servers,
+        servers: &ServerNames,
     ) -> (String, Value, Vec<ServerId>) {
         match event {
             Event::Query(query) => {
                 let names = named.next();
                 let name = names.map_or("", |named| named.name.as_str());
                 let idempotency = names.and_then(|named| named.idempotency.as_deref());
-                let class = source.class(query.class);
+                let class = source.class_name(query.class);
                 let key = query.key.map(|key| format!("{key:016x}"));
                 let again = if query.repeated { ", a repeat" } else { "" };
                 let about = key.as_ref().map_or_else(String::new, |key| format!(", key {key}"));
@@ -317,7 +317,7 @@
         kind: &str,
         list: &[Listed],
         version: Option<&u64>,
-        servers: &Servers,
+        servers: &ServerNames,
     ) -> (String, Value, Vec<ServerId>) {
         let version = version.copied().unwrap_or(0);
         let line =
@@ -353,7 +353,7 @@
     pub fn action(
         &self,
         action: &Action,
-        servers: &Servers,
+        servers: &ServerNames,
     ) -> (String, Value, Vec<ServerId>, Vec<&'static str>) {
         match action {
             Action::Send { part, server, time_out, why } => {
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::record::{Record, Servers, Source, server_name};
+use crate::record::{Record, ServerNames, Source, server_name};
 use crate::track::Tracker;
 
 /// Longest time that is told apart, in microseconds.
@@ -177,7 +177,7 @@
         self.steps += 1;
         self.missing += record.gap.as_ref().map_or(0, |gap| gap.last - gap.first + 1);
         for not in &record.not_taken {
-            self.class(source.class(not.class)).row.not_taken += 1;
+            self.class(source.class_name(not.class)).row.not_taken += 1;
         }
         for event in &record.events {
             self.event(record, source, event);
@@ -232,7 +232,7 @@
                     query.id,
                     Open { class: query.class, taken: record.time, aim_at, weights: vec![], served: vec![] },
                 );
-                let row = &mut self.class(source.class(query.class)).row;
+                let row = &mut self.class(source.class_name(query.class)).row;
                 row.taken += 1;
                 if let Some(worth) = worth {
                     row.worth_asked = Some(row.worth_asked.unwrap_or(0.0) + worth);
@@ -244,7 +244,7 @@
                     open.weights.push(part.weight);
                     open.served.push(false);
                     let class = open.class;
-                    self.class(source.class(class)).row.parts += 1;
+                    self.class(source.class_name(class)).row.parts += 1;
                 }
             }
             Event::Outcome { part, attempt, verdict, took, .. } => {
@@ -275,7 +275,7 @@
             Event::ClientGone(query) => {
                 if let Some(open) = run.open.remove(query) {
                     forget(run, *query, &open);
-                    self.class(source.class(open.class)).row.gone += 1;
+                    self.class(source.class_name(open.class)).row.gone += 1;
                 }
             }
             _ => {}
@@ -292,7 +292,7 @@
                 *attempt += 1;
                 self.server(*server).row.sent += 1;
                 if let Some(class) = class {
-                    self.class(source.class(class)).row.attempts += 1;
+                    self.class(source.class_name(class)).row.attempts += 1;
                 }
             }
             Action::Answer { query, whole, .. } => {
@@ -301,7 +301,7 @@
                 let late = record.time > open.aim_at;
                 let worth = run.classes.get(open.class).map(|class| worth(class, &open, *whole, late));
                 let took = record.time.since(open.taken);
-                let tally = self.class(source.class(open.class));
+                let tally = self.class(source.class_name(open.class));
                 tally.times.saturating_record(micros(took));
                 let row = &mut tally.row;
                 *if *whole { &mut row.whole } else { &mut row.partial } += 1;
@@ -313,7 +313,7 @@
             Action::Refuse { query, .. } | Action::Fail { query, .. } => {
                 let Some(open) = run.open.remove(query) else { return };
                 forget(run, *query, &open);
-                let row = &mut self.class(source.class(open.class)).row;
+                let row = &mut self.class(source.class_name(open.class)).row;
                 *if matches!(action, Action::Fail { .. }) { &mut row.failed } else { &mut row.refused } += 1;
             }
             _ => {}
@@ -321,7 +321,7 @@
     }
 
     /// What it comes to.
-    pub fn finish(self, servers: &Servers) -> Summary {
+    pub fn finish(self, servers: &ServerNames) -> Summary {
         let class = |(_, tally): (String, Tally)| ClassRow {
             p50_ms: quantile(&tally.times, 0.5),
             p90_ms: quantile(&tally.times, 0.9),
--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -12,7 +12,7 @@
 use crate::mask::Mask;
 use crate::merge::{MergeError, Merged, Notice, open};
 use crate::read::{End, Reader};
-use crate::record::{Record, Servers, Source};
+use crate::record::{Record, ServerNames, Source};
 use crate::replay::{Difference, Replay, Unverifiable};
 use crate::story::{Line, Teller};
 use crate::track::{query_of_action, query_of_event};
@@ -159,7 +159,7 @@
     let mut sightings = Sightings::new(merged.header().sources.len());
     each_record(&mut merged, progress, |merged, record| {
         let source = record.source as usize;
-        sightings.see(source, merged.header().sources[source].unix(record.time), &record);
+        sightings.see(source, merged.header().sources[source].unix_nanos(record.time), &record);
         Ok(())
     })?;
     let offsets = sightings.offsets();
@@ -223,7 +223,7 @@
     mut merged: Merged,
     reasons: bool,
     progress: Progress,
-) -> Result<(Vec<Verified>, Vec<Notice>, Servers), ToolError> {
+) -> Result<(Vec<Verified>, Vec<Notice>, ServerNames), ToolError> {
     let header = merged.header().clone();
     let mut runs: Vec<(Verified, Option<Replay>)> = Vec::new();
     for source in &header.sources {
@@ -306,7 +306,7 @@
                 &mut notices,
                 &mut |reader, record| {
                     let source = &reader.sources[record.source as usize];
-                    for named in &record.named {
+                    for named in &record.query_names {
                         let key = named.idempotency.as_ref();
                         if wanted.contains(&named.name) || key.is_some_and(|key| wanted.contains(key)) {
                             let of = tries.entry((source.broker.clone(), source.run)).or_default();
@@ -345,7 +345,7 @@
                 if !touched {
                     return;
                 }
-                let unix = source.unix(record.time);
+                let unix = source.unix_nanos(record.time);
                 for (index, line) in teller.lines(record, source, reader.servers).into_iter().enumerate() {
                     if line.query.as_ref().is_some_and(about) {
                         let at = (unix, source.broker.clone(), source.run, record.sequence, index);
@@ -375,7 +375,7 @@
 /// What a record's numbers refer to.
 struct Context<'a> {
     sources: &'a [Source],
-    servers: &'a Servers,
+    servers: &'a ServerNames,
 }
 
 fn each_block(
--- a/crates/trace/src/write.rs
+++ b/crates/trace/src/write.rs
@@ -9,7 +9,7 @@
 use crate::codec::Encoder;
 use crate::frame::{self, Frame};
 use crate::header::{Header, to_wire};
-use crate::record::{Record, Servers};
+use crate::record::{Record, ServerNames};
 use crate::track::{Tracker, query_of_action, query_of_event};
 use crate::wire;
 
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// When a block that is full can't be written.
-    pub fn add(&mut self, record: &Record, servers: &Servers) -> io::Result<()> {
+    pub fn add(&mut self, record: &Record, servers: &ServerNames) -> io::Result<()> {
         let Some(source) = self.header.sources.get(record.source as usize) else {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
@@ -90,7 +90,7 @@
         };
         let tracker = &mut self.trackers[record.source as usize];
         let summed = &mut self.summed;
-        let unix = source.unix(record.time);
+        let unix = source.unix_nanos(record.time);
         let (first, last) = summed.times.unwrap_or((unix, unix));
         summed.times = Some((first.min(unix), last.max(unix)));
         let span = summed.spans.entry(record.source).or_insert((record.sequence, record.sequence));
@@ -107,7 +107,7 @@
             }
             summed.queries.extend(query_of_event(tracker, event).map(|query| query.0));
         }
-        for named in &record.named {
+        for named in &record.query_names {
             summed.names.insert(name_hash(&named.name));
             summed.names.extend(named.idempotency.as_deref().map(name_hash));
         }
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use badgergauge_core::*;
-use badgergauge_trace::record::{Named, NotTaken, Why};
-use badgergauge_trace::{End, Gap, Header, Reader, Record, Servers, Source, Writer};
+use badgergauge_trace::record::{NotTaken, NotTakenReason, QueryNames};
+use badgergauge_trace::{End, Gap, Header, Reader, Record, ServerNames, Source, Writer};
 
 pub fn source(broker: &str, run: u64) -> Source {
     Source {
@@ -22,7 +22,7 @@
     }
 }
 
-pub fn servers() -> Servers {
+pub fn servers() -> ServerNames {
     (1..=3).map(|n| (ServerId(n), format!("tile0{n}.cardiff.example.org"))).collect()
 }
 
@@ -111,14 +111,18 @@
             Action::SetTimer { timer: TimerId(n), at: Time(1_000_000_000 + n * 6_000_000) },
             Action::WatchServers,
         ],
-        named: vec![Named {
+        query_names: vec![QueryNames {
             query: QueryId(id),
             name: format!("{:016x}", n * 77),
             idempotency: (n % 2 == 1).then(|| format!("{n:032x}")),
         }],
         versions: vec![n, n + 1],
-        not_taken: vec![NotTaken { class: 1, why: Why::NameInUse }],
-        gap: n.is_multiple_of(4).then(|| Gap { first: n - 2, last: n - 1, why: "the queue was full".into() }),
+        not_taken: vec![NotTaken { class: 1, reason: NotTakenReason::NameInUse }],
+        gap: n.is_multiple_of(4).then(|| Gap {
+            first: n - 2,
+            last: n - 1,
+            reason: "the queue was full".into(),
+        }),
         note: if n.is_multiple_of(5) { "stopping".into() } else { String::new() },
     }
 }
--- a/crates/trace/tests/damage.rs
+++ b/crates/trace/tests/damage.rs
@@ -7,7 +7,7 @@
 use std::io::Cursor;
 
 use badgergauge_trace::frame::{self, Frame};
-use badgergauge_trace::{End, OpenError, Reader, Record, Servers};
+use badgergauge_trace::{End, OpenError, Reader, Record, ServerNames};
 use common::*;
 use proptest::prelude::*;
 
@@ -189,7 +189,7 @@
             record.events.truncate(events);
             record.actions.truncate(actions);
             if events <= 3 {
-                record.named.clear();
+                record.query_names.clear();
             }
             record.actions.retain(|a| !matches!(a, badgergauge_core::Action::SetTimer { .. }));
             records.push(record);
@@ -240,5 +240,5 @@
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("opens");
     reader.block_at(ends[1] as u64).expect("memory");
     assert_eq!(reader.servers(), &servers());
-    assert_ne!(reader.servers(), &Servers::new());
+    assert_ne!(reader.servers(), &ServerNames::new());
 }
--- a/crates/trace/tests/recorder.rs
+++ b/crates/trace/tests/recorder.rs
@@ -90,7 +90,7 @@
                 for record in block {
                     if let Some(gap) = &record.gap {
                         missing.extend(gap.first..=gap.last);
-                        why.push_str(&gap.why);
+                        why.push_str(&gap.reason);
                     }
                     steps.push(record.sequence);
                 }
--- a/src/bin/badgergauge/trace.rs
+++ b/src/bin/badgergauge/trace.rs
@@ -406,9 +406,9 @@
             blocks += 1;
             for record in records {
                 steps += 1;
-                taken += record.named.len() as u64;
+                taken += record.query_names.len() as u64;
                 missing += record.gap.as_ref().map_or(0, |gap| gap.last - gap.first + 1);
-                let unix = sources[record.source as usize].unix(record.time);
+                let unix = sources[record.source as usize].unix_nanos(record.time);
                 let span = spans[record.source as usize].get_or_insert((
                     record.sequence,
                     record.sequence,
@@ -430,7 +430,7 @@
                     format!("steps {first} to {last}, {} to {}", shown(from), shown(to))
                 },
             );
-            let sampled = if source.is_whole() { "" } else { ", a sample" };
+            let sampled = if source.is_unsampled() { "" } else { ", a sample" };
             let moved =
                 if source.moved == 0 { String::new() } else { format!(", moved by {} ns", source.moved) };
             print(format!("  {}: {held}{sampled}{moved}", run_name(source)))?;
@@ -468,11 +468,11 @@
     let mut out = BufWriter::new(io::stdout().lock());
     while let Some(record) = merged.next_record()? {
         let source = &sources[record.source as usize];
-        let named = record.named.iter().filter(|named| Some(&named.name) == arguments.query.as_ref());
+        let named = record.query_names.iter().filter(|named| Some(&named.name) == arguments.query.as_ref());
         queries.extend(named.map(|named| (record.source, named.query)));
         let lines = tellers[record.source as usize].tell(&record, source, merged.servers());
         for (index, line) in lines.iter().enumerate() {
-            let class = |class: &String| line.class.is_some_and(|index| source.class(index) == class);
+            let class = |class: &String| line.class.is_some_and(|index| source.class_name(index) == class);
             let server =
                 |name: &String| line.servers.iter().any(|id| server_name(merged.servers(), *id) == *name);
             let wanted = arguments.class.as_ref().is_none_or(class)
@@ -497,7 +497,7 @@
     line: &Line,
     as_json: bool,
 ) -> io::Result<()> {
-    let at = shown(source.unix(record.time));
+    let at = shown(source.unix_nanos(record.time));
     if as_json {
         let mut json = line.json.clone();
         json["time"] = at.into();
@@ -516,7 +516,7 @@
     let start = if relative {
         let mut merged = Merged::open(&files, i64::MIN..i64::MAX)?;
         let first = merged.next_record()?;
-        first.map_or(0, |record| merged.header().sources[record.source as usize].unix(record.time))
+        first.map_or(0, |record| merged.header().sources[record.source as usize].unix_nanos(record.time))
     } else {
         0
     };
@@ -775,10 +775,10 @@
     }
     // The first of them all, by time.
     let differing = runs.iter().filter_map(|run| Some((run, run.difference.as_ref()?)));
-    let Some((run, first)) = differing.min_by_key(|(run, first)| run.source.unix(first.time)) else {
+    let Some((run, first)) = differing.min_by_key(|(run, first)| run.source.unix_nanos(first.time)) else {
         return Ok(code);
     };
-    let at = shown(run.source.unix(first.time));
+    let at = shown(run.source.unix_nanos(first.time));
     let name = run_name(&run.source);
     println!("first difference: {name}, step {}, action {}, at {at}", first.sequence, first.index);
     println!("  query: {}", first.query.as_deref().unwrap_or("of none, or not known"));
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -151,7 +151,7 @@
     let mut merged = all(&files);
     let mut named = Vec::new();
     while let Some(record) = merged.next_record().expect("read") {
-        named.extend(record.named.into_iter().map(|named| named.name));
+        named.extend(record.query_names.into_iter().map(|named| named.name));
     }
     assert_eq!(named, ["q1"]);
     let notices = merged.notices();
