--- a/crates/synth/tests/tools.rs
+++ b/crates/synth/tests/tools.rs
@@ -12,7 +12,7 @@
 use badgergauge_trace::merge::{MergeError, Merged, files};
 use badgergauge_trace::replay::Unverifiable;
 use badgergauge_trace::tools::{self, ToolError};
-use badgergauge_trace::{End, Header, Record, Writer};
+use badgergauge_trace::{FileEnd, Header, Record, Writer};
 
 struct Folder(PathBuf);
 
@@ -274,12 +274,12 @@
         let bytes = fs::read(path).expect("there");
         let mut all = bytes.clone();
         let mut at = 0;
-        while let Some(next) =
-            (at..bytes.len()).find(|at| badgergauge_trace::frame::Frame::decode(&bytes[*at..]).is_some())
+        while let Some(next) = (at..bytes.len())
+            .find(|at| badgergauge_trace::frame::FrameHeader::decode(&bytes[*at..]).is_some())
         {
-            let frame = badgergauge_trace::frame::Frame::decode(&bytes[next..]).expect("found");
-            let from = next + badgergauge_trace::frame::FRAME_HEAD;
-            at = from + frame.packed as usize;
+            let frame = badgergauge_trace::frame::FrameHeader::decode(&bytes[next..]).expect("found");
+            let from = next + badgergauge_trace::frame::FRAME_HEADER_LEN;
+            at = from + frame.compressed_len as usize;
             all.extend(zstd::decode_all(&bytes[from..at]).expect("sound"));
         }
         all
@@ -376,9 +376,9 @@
     fs::write(&b, "").expect("written");
     assert_eq!(refused(&b), format!("{}: is empty", b.display()));
     let mut bytes = fs::read(&a).expect("there");
-    bytes.splice(..badgergauge_trace::frame::HEAD, {
+    bytes.splice(..badgergauge_trace::frame::PREAMBLE_LEN, {
         let length = u32::from_le_bytes(bytes[12..16].try_into().expect("4")) as usize;
-        badgergauge_trace::frame::head((2, 0), &bytes[24..24 + length])
+        badgergauge_trace::frame::encode_preamble((2, 0), &bytes[24..24 + length])
     });
     fs::write(&b, &bytes).expect("written");
     assert_eq!(
@@ -414,7 +414,7 @@
     let cut = folder.at("cut.bgt");
     fs::write(&cut, &bytes[..bytes.len() * 2 / 3]).expect("written");
     let (written, end) = tools::copy(&cut, &folder.at("sound.bgt"), None).expect("repaired");
-    assert!(matches!(end, End::Half { .. }), "{end:?}");
+    assert!(matches!(end, FileEnd::Truncated { .. }), "{end:?}");
     assert_eq!(written.notices.len(), 1);
     let (whole, _) = all(open(&[path]));
     let (sound, _) = all(open(&[folder.at("sound.bgt")]));
--- a/crates/trace/src/codec.rs
+++ b/crates/trace/src/codec.rs
@@ -51,10 +51,10 @@
 
 /// What makes a block unreadable although its checksum holds: a writer of another mind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unreadable(pub &'static str);
+pub struct DecodeError(pub &'static str);
 
-fn known<T: Copy>(all: &[T], code: u32, what: &'static str) -> Result<T, Unreadable> {
-    all.get(code as usize).copied().ok_or(Unreadable(what))
+fn known<T: Copy>(all: &[T], code: u32, what: &'static str) -> Result<T, DecodeError> {
+    all.get(code as usize).copied().ok_or(DecodeError(what))
 }
 
 fn nanos(span: Duration) -> u64 {
@@ -271,7 +271,7 @@
     block: wire::Block,
     sources: usize,
     servers: &mut ServerNames,
-) -> Result<Vec<Record>, Unreadable> {
+) -> Result<Vec<Record>, DecodeError> {
     let ids: Vec<ServerId> = block.servers.iter().map(|server| ServerId(server.id)).collect();
     let mut decoder = Decoder { servers: &ids, id: 0, last_query: None };
     let mut sequences: BTreeMap<u32, u64> = BTreeMap::new();
@@ -279,7 +279,7 @@
     let mut records = Vec::with_capacity(block.steps.len());
     for step in block.steps {
         if step.source as usize >= sources {
-            return Err(Unreadable("a source that the header does not name"));
+            return Err(DecodeError("a source that the header does not name"));
         }
         let sequence = sequences.entry(step.source).or_default();
         *sequence = sequence.wrapping_add(step.sequence);
@@ -287,7 +287,7 @@
         let mut record = Record {
             source: step.source,
             sequence: *sequence,
-            time: Time(u64::try_from(time).map_err(|_| Unreadable("a time before the clock's zero"))?),
+            time: Time(u64::try_from(time).map_err(|_| DecodeError("a time before the clock's zero"))?),
             versions: step.versions,
             note: step.note,
             gap: step.gap.map(|gap| Gap {
@@ -333,11 +333,11 @@
         self.id
     }
 
-    fn server(&self, index: u32) -> Result<ServerId, Unreadable> {
+    fn server(&self, index: u32) -> Result<ServerId, DecodeError> {
         known(self.servers, index, "a server that the block does not name")
     }
 
-    fn event(&mut self, kind: event::Kind, named: &mut Vec<QueryNames>) -> Result<Event, Unreadable> {
+    fn event(&mut self, kind: event::Kind, named: &mut Vec<QueryNames>) -> Result<Event, DecodeError> {
         let verdict = |code| known(&VERDICTS, code, "an unknown verdict");
         Ok(match kind {
             event::Kind::Query(query) => {
@@ -359,7 +359,7 @@
             event::Kind::Part(part) => Event::Part(Part {
                 id: PartId(self.id(part.id)),
                 query: QueryNumber(
-                    part.query.or(self.last_query).ok_or(Unreadable("a part without its query"))?,
+                    part.query.or(self.last_query).ok_or(DecodeError("a part without its query"))?,
                 ),
                 shard: ShardId(part.shard),
                 weight: part.weight,
@@ -392,7 +392,7 @@
         })
     }
 
-    fn listing(&self, list: &wire::Listing) -> Result<Vec<Listed>, Unreadable> {
+    fn listing(&self, list: &wire::Listing) -> Result<Vec<Listed>, DecodeError> {
         let line = |line: &wire::Listed| {
             Ok(Listed {
                 server: self.server(line.server)?,
@@ -406,7 +406,7 @@
         list.lines.iter().map(line).collect()
     }
 
-    fn ending(&mut self, why: Option<wire::Ending>) -> Result<Ending, Unreadable> {
+    fn ending(&mut self, why: Option<wire::Ending>) -> Result<Ending, DecodeError> {
         let why = why.unwrap_or_default();
         let cause = known(&CAUSES, why.cause, "an unknown cause")?;
         let mut missing = Vec::with_capacity(why.missing.len());
@@ -416,7 +416,7 @@
         Ok(Ending { cause, missing })
     }
 
-    fn action(&mut self, kind: action::Kind, now: Time) -> Result<Action, Unreadable> {
+    fn action(&mut self, kind: action::Kind, now: Time) -> Result<Action, DecodeError> {
         Ok(match kind {
             action::Kind::Send(send) => Action::Send {
                 part: PartId(self.id(send.part)),
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -24,6 +24,6 @@
 pub mod write;
 
 pub use header::Header;
-pub use read::{Damage, End, Index, OpenError, Reader};
+pub use read::{Damage, FileEnd, Index, OpenError, Reader};
 pub use record::{Gap, NotTaken, NotTakenReason, QueryNames, Record, ServerNames, Source};
 pub use write::Writer;
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -166,7 +166,7 @@
                 Some(_) => {}
             }
             header.masked = masked;
-            let begins = reader.begins().map_err(|error| MergeError::Io(path.clone(), error))?;
+            let begins = reader.first_block_start().map_err(|error| MergeError::Io(path.clone(), error))?;
             let (bound, time) = begins;
             let (mut cursors, mut timed) = (Vec::new(), true);
             for source in &reader.header().sources {
@@ -313,7 +313,7 @@
         if input.reader.is_none() {
             let mut reader = open(&input.path)?;
             if input.timed {
-                reader.only(self.window.clone());
+                reader.restrict_to(self.window.clone());
             }
             input.reader = Some(reader);
         }
@@ -321,7 +321,7 @@
         let records = reader.next_block().map_err(|error| MergeError::Io(input.path.clone(), error))?;
         input.read = reader.offset();
         let Some(records) = records else {
-            self.notices.extend(reader.faults().into_iter().map(|what| (input.path.clone(), what)));
+            self.notices.extend(reader.problems().into_iter().map(|what| (input.path.clone(), what)));
             (input.over, input.reader) = (true, None);
             return Ok(());
         };
--- a/crates/trace/src/read.rs
+++ b/crates/trace/src/read.rs
@@ -1,4 +1,5 @@
-//! Reading a trace file, sound or not: every record of every block that is whole, and what is missing.
+//! Reading a trace file, intact or not: returns every record of every intact block, and reports what was
+//! skipped.
 
 use std::fmt;
 use std::io::{self, Read, Seek, SeekFrom};
@@ -7,28 +8,28 @@
 use prost::Message;
 
 use crate::codec;
-use crate::frame::{self, Frame, Head};
+use crate::frame::{self, FrameHeader, Preamble};
 use crate::header::{Header, from_wire};
 use crate::record::{Record, ServerNames};
 use crate::wire;
 use crate::write::name_hash;
 
-/// Why a file is not read at all.
+/// Why a file can't be opened.
 #[derive(Debug)]
 pub enum OpenError {
-    /// It can't be read from.
+    /// The file can't be read.
     Io(io::Error),
-    /// It holds nothing.
+    /// The file is empty.
     Empty,
-    /// It is no trace file.
-    Foreign,
-    /// It ends before its header does.
-    Short,
-    /// Its header is damaged: whose records these are can't be told.
-    Damaged,
-    /// It was written by a version with another meaning.
-    Version {
-        /// The file's.
+    /// The file is not a trace file.
+    NotATrace,
+    /// The file ends before its header does.
+    Truncated,
+    /// The header is damaged, so the runs that the records belong to are unknown.
+    DamagedHeader,
+    /// The file has a major format version that this build can't read.
+    UnsupportedVersion {
+        /// Format version of the file, major and minor.
         file: (u16, u16),
     },
 }
@@ -38,11 +39,13 @@
         match self {
             OpenError::Io(error) => error.fmt(f),
             OpenError::Empty => f.write_str("is empty"),
-            OpenError::Foreign => f.write_str("is no trace file"),
-            OpenError::Short => f.write_str("ends before its header does, and holds no records"),
-            OpenError::Damaged => f.write_str("its header is damaged: whose records these are can't be told"),
-            OpenError::Version { file } => {
-                let (ours, theirs) = (frame::VERSION, file);
+            OpenError::NotATrace => f.write_str("is not a trace file"),
+            OpenError::Truncated => f.write_str("is truncated within its header and holds no records"),
+            OpenError::DamagedHeader => {
+                f.write_str("its header is damaged: the broker and run of its records are unknown")
+            }
+            OpenError::UnsupportedVersion { file } => {
+                let (ours, theirs) = (frame::FORMAT_VERSION, file);
                 write!(
                     f,
                     "is of version {}.{}, and this program reads versions {}.x",
@@ -61,20 +64,20 @@
     }
 }
 
-/// Bytes that were skipped.
+/// A damaged range of a file, which was skipped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
-    /// Where in the file.
+    /// Offsets of the range in the file.
     pub bytes: Range<u64>,
-    /// What is wrong there.
-    pub why: &'static str,
-    /// The sequence numbers that the block's head gives, where that is sound.
+    /// What is wrong with it.
+    pub reason: &'static str,
+    /// Lowest and highest sequence number of the block's records, if its frame header is intact.
     pub sequences: Option<(u64, u64)>,
 }
 
 impl fmt::Display for Damage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "bytes {} to {}: {}", self.bytes.start, self.bytes.end, self.why)?;
+        write!(f, "bytes {} to {}: {}", self.bytes.start, self.bytes.end, self.reason)?;
         match self.sequences {
             Some((first, last)) => write!(f, " (steps {first} to {last})"),
             None => Ok(()),
@@ -82,111 +85,115 @@
     }
 }
 
-/// How a file ends.
+/// State of a file's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// With its footer and trailer.
-    Whole,
-    /// After a whole block: it was not closed.
-    Open,
-    /// In the middle of a block that begins here, as a crash leaves it.
-    Half {
-        /// Where the half block begins.
+pub enum FileEnd {
+    /// The file ends with an intact footer and trailer.
+    Complete,
+    /// The file ends after a complete block, without a footer: it was not closed.
+    Unclosed,
+    /// The file ends within a block, for example after a crash.
+    Truncated {
+        /// Offset of the incomplete block.
         at: u64,
-        /// Bytes of it that are there.
+        /// Number of bytes of it that are present.
         bytes: u64,
     },
-    /// Its footer or trailer is damaged, or something follows.
-    Tail {
-        /// Where the last sound thing ends.
+    /// The footer or trailer is damaged, or followed by other bytes.
+    DamagedIndex {
+        /// Offset of the footer.
         at: u64,
     },
 }
 
-impl fmt::Display for End {
+impl fmt::Display for FileEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            End::Whole => f.write_str("whole"),
-            End::Open => f.write_str("not closed: it has no index, and all its blocks are whole"),
-            End::Half { at, bytes } => {
+            FileEnd::Complete => f.write_str("complete"),
+            FileEnd::Unclosed => f.write_str("not closed: it has no index, and all its blocks are complete"),
+            FileEnd::Truncated { at, bytes } => {
                 write!(
                     f,
-                    "cut short: the last {bytes} bytes, from {at} on, are half a block and are left out"
+                    "truncated: the last {bytes} bytes, from {at} on, are an incomplete block and are skipped"
                 )
             }
-            End::Tail { at } => {
+            FileEnd::DamagedIndex { at } => {
                 write!(f, "its index is damaged, from byte {at} on; its blocks are read one by one")
             }
         }
     }
 }
 
-/// A trace file being read, block by block.
+/// Reads a trace file block by block.
 pub struct Reader<R> {
     input: R,
+    /// Length of the file in bytes.
     length: u64,
+    /// Offset of the next frame to read.
     offset: u64,
     version: (u16, u16),
     header: Header,
-    /// Where the first block begins.
+    /// Offset of the first block.
     start: u64,
     servers: ServerNames,
     damage: Vec<Damage>,
-    end: Option<End>,
-    /// Blocks all before or all after these Unix times are skipped unread.
+    end: Option<FileEnd>,
+    /// Blocks entirely outside this range of Unix times, in nanoseconds, are skipped.
     window: Range<i64>,
 }
 
-/// Reads what there is, up to so many bytes: memory is taken for bytes that are there alone.
-fn read_up_to(input: &mut impl Read, most: u64) -> io::Result<Vec<u8>> {
+/// Reads up to `max` bytes. Memory is allocated only for bytes that are present, whatever a length field
+/// says.
+fn read_up_to(input: &mut impl Read, max: u64) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    input.take(most).read_to_end(&mut bytes)?;
+    input.take(max).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-/// Unpacks a payload into exactly `raw` bytes, or not at all.
-fn unpack(packed: &[u8], raw: u32) -> Option<Vec<u8>> {
-    let decoder = zstd::stream::read::Decoder::with_buffer(packed).ok()?;
+/// Decompresses a payload. Returns `None` unless the result is exactly `uncompressed_len` bytes long.
+fn decompress(compressed: &[u8], uncompressed_len: u32) -> Option<Vec<u8>> {
+    let decoder = zstd::stream::read::Decoder::with_buffer(compressed).ok()?;
     let mut bytes = Vec::new();
-    decoder.take(u64::from(raw) + 1).read_to_end(&mut bytes).ok()?;
-    (bytes.len() == raw as usize).then_some(bytes)
+    decoder.take(u64::from(uncompressed_len) + 1).read_to_end(&mut bytes).ok()?;
+    (bytes.len() == uncompressed_len as usize).then_some(bytes)
 }
 
 impl<R: Read + Seek> Reader<R> {
-    /// Reads the header.
+    /// Opens a trace file and reads its header.
     ///
     /// # Errors
     ///
-    /// When it is no trace file of a version that is known, or whose it is can't be told.
+    /// Returns an error if the file can't be read, is not a trace file of a supported version, or has a
+    /// damaged or incomplete header.
     pub fn open(mut input: R) -> Result<Self, OpenError> {
         let length = input.seek(SeekFrom::End(0))?;
         input.seek(SeekFrom::Start(0))?;
         if length == 0 {
             return Err(OpenError::Empty);
         }
-        let bytes = read_up_to(&mut input, frame::HEAD as u64)?;
-        let Ok(head) = <[u8; frame::HEAD]>::try_from(&bytes[..]) else {
-            let begun = frame::MAGIC.starts_with(&bytes[..bytes.len().min(frame::MAGIC.len())])
+        let bytes = read_up_to(&mut input, frame::PREAMBLE_LEN as u64)?;
+        let Ok(preamble) = <[u8; frame::PREAMBLE_LEN]>::try_from(&bytes[..]) else {
+            let has_magic = frame::MAGIC.starts_with(&bytes[..bytes.len().min(frame::MAGIC.len())])
                 || bytes.starts_with(&frame::MAGIC);
-            return Err(if begun { OpenError::Short } else { OpenError::Foreign });
+            return Err(if has_magic { OpenError::Truncated } else { OpenError::NotATrace });
         };
-        let (version, size, sum) = match frame::read_head(&head) {
-            Head::Foreign => return Err(OpenError::Foreign),
-            Head::Damaged => return Err(OpenError::Damaged),
-            Head::Sound { version, length, sum } => (version, length, sum),
+        let (version, size, checksum) = match frame::decode_preamble(&preamble) {
+            Preamble::NotATrace => return Err(OpenError::NotATrace),
+            Preamble::Damaged => return Err(OpenError::DamagedHeader),
+            Preamble::Valid { version, length, checksum } => (version, length, checksum),
         };
-        if version.0 != frame::VERSION.0 {
-            return Err(OpenError::Version { file: version });
+        if version.0 != frame::FORMAT_VERSION.0 {
+            return Err(OpenError::UnsupportedVersion { file: version });
         }
         let message = read_up_to(&mut input, size as u64)?;
         if message.len() < size {
-            return Err(OpenError::Short);
+            return Err(OpenError::Truncated);
         }
-        if crc32fast::hash(&message) != sum {
-            return Err(OpenError::Damaged);
+        if crc32fast::hash(&message) != checksum {
+            return Err(OpenError::DamagedHeader);
         }
-        let header = wire::Header::decode(&message[..]).map_err(|_| OpenError::Damaged)?;
-        let start = (frame::HEAD + size) as u64;
+        let header = wire::Header::decode(&message[..]).map_err(|_| OpenError::DamagedHeader)?;
+        let start = (frame::PREAMBLE_LEN + size) as u64;
         Ok(Reader {
             input,
             length,
@@ -201,192 +208,199 @@
         })
     }
 
-    /// What the file says of itself.
+    /// Returns the file's header.
     pub fn header(&self) -> &Header {
         &self.header
     }
 
-    /// The version it was written by.
+    /// Returns the file's format version, major and minor.
     pub fn version(&self) -> (u16, u16) {
         self.version
     }
 
-    /// Bytes in all.
+    /// Returns the length of the file in bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Where reading has come to.
+    /// Returns the offset up to which the file has been read.
     pub fn offset(&self) -> u64 {
         self.offset
     }
 
-    /// The servers named so far.
+    /// Returns the server names of the blocks read so far.
     pub fn servers(&self) -> &ServerNames {
         &self.servers
     }
 
-    /// What was skipped so far.
+    /// Returns the damaged ranges skipped so far.
     pub fn damage(&self) -> &[Damage] {
         &self.damage
     }
 
-    /// How the file ends, once [`Reader::next_block`] has given none.
-    pub fn end(&self) -> Option<End> {
+    /// Returns the state of the file's end, once [`Reader::next_block`] has returned `None`.
+    pub fn end(&self) -> Option<FileEnd> {
         self.end
     }
 
-    /// Skips blocks that lie outside these Unix times, in nanoseconds.
-    pub fn only(&mut self, window: Range<i64>) {
+    /// Skips blocks that lie entirely outside this range of Unix times, in nanoseconds.
+    pub fn restrict_to(&mut self, window: Range<i64>) {
         self.window = window;
     }
 
-    /// All that is wrong with what was read so far, in words; nothing where the file is whole.
-    pub fn faults(&self) -> Vec<String> {
-        let end = self.end.filter(|end| *end != End::Whole).map(|end| end.to_string());
+    /// Describes all problems found so far, one per entry; empty if the file is intact and closed.
+    pub fn problems(&self) -> Vec<String> {
+        let end = self.end.filter(|end| *end != FileEnd::Complete).map(|end| end.to_string());
         self.damage.iter().map(ToString::to_string).chain(end).collect()
     }
 
-    /// The sound head of a frame that stands at an offset, and whatever bytes of one are there.
-    fn head_at(&mut self, at: u64) -> io::Result<(Option<Frame>, usize)> {
+    /// Reads the frame header at an offset. Returns it if it is intact, and the number of bytes present
+    /// there.
+    fn frame_header_at(&mut self, at: u64) -> io::Result<(Option<FrameHeader>, usize)> {
         self.input.seek(SeekFrom::Start(at))?;
-        let head = read_up_to(&mut self.input, frame::FRAME_HEAD as u64)?;
-        Ok((Frame::decode(&head), head.len()))
+        let bytes = read_up_to(&mut self.input, frame::FRAME_HEADER_LEN as u64)?;
+        Ok((FrameHeader::decode(&bytes), bytes.len()))
     }
 
-    /// The payload of a frame whose head stands at an offset; none where it is damaged or short.
-    fn payload(&mut self, at: u64, frame: &Frame) -> io::Result<Option<Vec<u8>>> {
-        self.input.seek(SeekFrom::Start(at + frame::FRAME_HEAD as u64))?;
-        let packed = read_up_to(&mut self.input, frame.packed.into())?;
-        Ok((crc32fast::hash(&packed) == frame.sum).then_some(packed))
+    /// Reads the compressed payload of the frame at an offset. Returns `None` if it is damaged or incomplete.
+    fn payload(&mut self, at: u64, frame: &FrameHeader) -> io::Result<Option<Vec<u8>>> {
+        self.input.seek(SeekFrom::Start(at + frame::FRAME_HEADER_LEN as u64))?;
+        let compressed = read_up_to(&mut self.input, frame.compressed_len.into())?;
+        Ok((crc32fast::hash(&compressed) == frame.checksum).then_some(compressed))
     }
 
-    /// The lowest sequence number and the earliest Unix time that the first block's head gives; the least there
-    /// are where that can't be told.
+    /// Returns the lowest sequence number and the earliest Unix time, in nanoseconds, of the first block.
+    /// Returns the minimum of each type if that block's frame header is missing or damaged.
     ///
     /// # Errors
     ///
-    /// When the file can't be read from.
-    pub fn begins(&mut self) -> io::Result<(u64, i64)> {
-        let (frame, _) = self.head_at(self.start)?;
-        let block = frame.filter(|frame| !frame.footer);
+    /// Returns an error if the file can't be read.
+    pub fn first_block_start(&mut self) -> io::Result<(u64, i64)> {
+        let (frame, _) = self.frame_header_at(self.start)?;
+        let block = frame.filter(|frame| !frame.is_footer);
         Ok(block.map_or((0, i64::MIN), |frame| (frame.sequences.0, frame.times.0)))
     }
 
-    /// The records of the next whole block; none at the end.
+    /// Returns the records of the next intact block, or `None` at the end of the file.
     ///
     /// # Errors
     ///
-    /// When the file can't be read from.
+    /// Returns an error if the file can't be read.
     pub fn next_block(&mut self) -> io::Result<Option<Vec<Record>>> {
         while self.end.is_none() {
             let at = self.offset;
-            let (frame, bytes) = self.head_at(at)?;
+            let (frame, bytes) = self.frame_header_at(at)?;
             if bytes == 0 {
-                self.end = Some(End::Open);
+                self.end = Some(FileEnd::Unclosed);
             } else if let Some(frame) = frame {
-                if let Some(records) = self.frame(at, &frame)? {
+                if let Some(records) = self.read_frame(at, &frame)? {
                     return Ok(Some(records));
                 }
-            } else if bytes < frame::FRAME_HEAD {
-                self.end = Some(End::Half { at, bytes: bytes as u64 });
+            } else if bytes < frame::FRAME_HEADER_LEN {
+                self.end = Some(FileEnd::Truncated { at, bytes: bytes as u64 });
             } else {
                 let next = self.find_frame(at + 1)?.unwrap_or(self.length);
-                let why = "a block's head is damaged";
-                self.damage.push(Damage { bytes: at..next, why, sequences: None });
+                let reason = "damaged block header";
+                self.damage.push(Damage { bytes: at..next, reason, sequences: None });
                 self.offset = next;
             }
         }
         Ok(None)
     }
 
-    fn frame(&mut self, at: u64, frame: &Frame) -> io::Result<Option<Vec<Record>>> {
-        let next = at + (frame::FRAME_HEAD as u64) + u64::from(frame.packed);
+    /// Reads the frame at an offset and moves on to the next one. Returns `None` if there are no records to
+    /// return: for the footer, an incomplete or damaged block, and one outside the time window.
+    fn read_frame(&mut self, at: u64, frame: &FrameHeader) -> io::Result<Option<Vec<Record>>> {
+        let next = at + (frame::FRAME_HEADER_LEN as u64) + u64::from(frame.compressed_len);
         if next > self.length {
-            // The head's checksum holds, so its length does: the rest was never written.
+            // The frame header's checksum matches, so the length is right: the rest was never written.
             let bytes = self.length - at;
-            self.end = Some(if frame.footer { End::Tail { at } } else { End::Half { at, bytes } });
+            let end =
+                if frame.is_footer { FileEnd::DamagedIndex { at } } else { FileEnd::Truncated { at, bytes } };
+            self.end = Some(end);
             return Ok(None);
         }
         self.offset = next;
-        if frame.footer {
+        if frame.is_footer {
             let trailer = read_at::<{ frame::TRAILER_LEN }>(&mut self.input, next)?;
             let closed = next + frame::TRAILER_LEN as u64 == self.length;
             let closed = closed && self.payload(at, frame)?.is_some();
-            let sound = closed && trailer.and_then(|t| frame::read_trailer(&t)) == Some(at);
-            self.end = Some(if sound { End::Whole } else { End::Tail { at } });
+            let intact = closed && trailer.and_then(|t| frame::decode_trailer(&t)) == Some(at);
+            self.end = Some(if intact { FileEnd::Complete } else { FileEnd::DamagedIndex { at } });
             return Ok(None);
         }
         if frame.times.1 < self.window.start || frame.times.0 >= self.window.end {
             return Ok(None);
         }
-        let damaged = |why| Damage { bytes: at..next, why, sequences: Some(frame.sequences) };
-        let Some(packed) = self.payload(at, frame)? else {
-            self.damage.push(damaged("a block is damaged"));
+        let damaged = |reason| Damage { bytes: at..next, reason, sequences: Some(frame.sequences) };
+        let Some(compressed) = self.payload(at, frame)? else {
+            self.damage.push(damaged("block checksum mismatch"));
             return Ok(None);
         };
-        let block = unpack(&packed, frame.raw).and_then(|raw| wire::Block::decode(&raw[..]).ok());
+        let block = decompress(&compressed, frame.uncompressed_len)
+            .and_then(|bytes| wire::Block::decode(&bytes[..]).ok());
         let sources = self.header.sources.len();
         let records = block.map(|block| codec::decode(block, sources, &mut self.servers));
         match records {
             Some(Ok(records)) if records.len() == frame.records as usize => Ok(Some(records)),
-            Some(Err(codec::Unreadable(why))) => {
-                self.damage.push(damaged(why));
+            Some(Err(codec::DecodeError(reason))) => {
+                self.damage.push(damaged(reason));
                 Ok(None)
             }
             _ => {
-                self.damage.push(damaged("a block is not what its head says"));
+                self.damage.push(damaged("block does not match its header"));
                 Ok(None)
             }
         }
     }
 
-    /// The next place from `from` on where a sound frame's head stands.
+    /// Returns the offset of the next intact frame header at or after `from`.
     fn find_frame(&mut self, mut from: u64) -> io::Result<Option<u64>> {
-        const CHUNK: u64 = 64 * 1024;
+        const CHUNK_BYTES: u64 = 64 * 1024;
         while from < self.length {
             self.input.seek(SeekFrom::Start(from))?;
-            let bytes = read_up_to(&mut self.input, CHUNK + frame::FRAME_HEAD as u64)?;
-            let found = (0..bytes.len().min(CHUNK as usize))
-                .find(|at| bytes[*at] == frame::BLOCK[0] && Frame::decode(&bytes[*at..]).is_some());
+            let bytes = read_up_to(&mut self.input, CHUNK_BYTES + frame::FRAME_HEADER_LEN as u64)?;
+            let found = (0..bytes.len().min(CHUNK_BYTES as usize)).find(|at| {
+                bytes[*at] == frame::BLOCK_MAGIC[0] && FrameHeader::decode(&bytes[*at..]).is_some()
+            });
             if let Some(at) = found {
                 return Ok(Some(from + at as u64));
             }
-            from += CHUNK;
+            from += CHUNK_BYTES;
         }
         Ok(None)
     }
 
-    /// The index behind the blocks; none where the file was not closed or its index is damaged.
+    /// Reads the index from the footer. Returns `None` if the file was not closed or its index is damaged.
     ///
     /// # Errors
     ///
-    /// When the file can't be read from.
+    /// Returns an error if the file can't be read.
     pub fn index(&mut self) -> io::Result<Option<Index>> {
         let Some(at) = self.length.checked_sub(frame::TRAILER_LEN as u64) else { return Ok(None) };
         let trailer = read_at::<{ frame::TRAILER_LEN }>(&mut self.input, at)?;
-        let Some(footer) = trailer.and_then(|t| frame::read_trailer(&t)) else { return Ok(None) };
+        let Some(footer) = trailer.and_then(|t| frame::decode_trailer(&t)) else { return Ok(None) };
         if footer < self.start || footer >= at {
             return Ok(None);
         }
-        let (frame, _) = self.head_at(footer)?;
-        let Some(frame) = frame.filter(|frame| frame.footer) else { return Ok(None) };
-        let Some(packed) = self.payload(footer, &frame)? else { return Ok(None) };
-        let raw = unpack(&packed, frame.raw);
-        let footer = raw.and_then(|raw| wire::Footer::decode(&raw[..]).ok());
+        let (frame, _) = self.frame_header_at(footer)?;
+        let Some(frame) = frame.filter(|frame| frame.is_footer) else { return Ok(None) };
+        let Some(compressed) = self.payload(footer, &frame)? else { return Ok(None) };
+        let bytes = decompress(&compressed, frame.uncompressed_len);
+        let footer = bytes.and_then(|bytes| wire::Footer::decode(&bytes[..]).ok());
         Ok(footer.map(|footer| Index { entries: footer.blocks }))
     }
 
-    /// Reads one block that the index names.
+    /// Returns the records of the block at an offset from the index; none if the block is damaged.
     ///
     /// # Errors
     ///
-    /// When the file can't be read from.
+    /// Returns an error if the file can't be read.
     pub fn block_at(&mut self, offset: u64) -> io::Result<Vec<Record>> {
         let before = (self.offset, self.end);
-        let (frame, _) = self.head_at(offset)?;
-        let records = match frame.filter(|frame| !frame.footer) {
-            Some(frame) => self.frame(offset, &frame)?,
+        let (frame, _) = self.frame_header_at(offset)?;
+        let records = match frame.filter(|frame| !frame.is_footer) {
+            Some(frame) => self.read_frame(offset, &frame)?,
             None => None,
         };
         (self.offset, self.end) = before;
@@ -399,30 +413,33 @@
     Ok(read_up_to(input, N as u64)?.try_into().ok())
 }
 
-/// A file's index.
+/// Index of a file's blocks.
 #[derive(Clone, Debug)]
 pub struct Index {
     entries: Vec<wire::Entry>,
 }
 
 impl Index {
-    /// Where blocks are that a query of this name may have been taken in.
-    pub fn named<'a>(&'a self, name: &str) -> impl Iterator<Item = u64> + 'a {
+    /// Returns the offsets of blocks that may contain a query taken under this name or idempotency key. As
+    /// the index stores hashes, a block may be returned that does not.
+    pub fn blocks_with_name<'a>(&'a self, name: &str) -> impl Iterator<Item = u64> + 'a {
         let hash = name_hash(name);
         let has = move |entry: &&wire::Entry| {
-            summed(entry.names.iter().map(|d| u64::from(*d))).any(|h| h == u64::from(hash))
+            prefix_sums(entry.names.iter().map(|d| u64::from(*d))).any(|h| h == u64::from(hash))
         };
         self.entries.iter().filter(has).map(|entry| entry.offset)
     }
 
-    /// Where blocks are that say something of a query of this id, of any source.
-    pub fn about(&self, query: u64) -> impl Iterator<Item = u64> + '_ {
-        let has = move |entry: &&wire::Entry| summed(entry.queries.iter().copied()).any(|id| id == query);
+    /// Returns the offsets of blocks with events or actions of a query of this id, of any source.
+    pub fn blocks_with_query(&self, query: u64) -> impl Iterator<Item = u64> + '_ {
+        let has =
+            move |entry: &&wire::Entry| prefix_sums(entry.queries.iter().copied()).any(|id| id == query);
         self.entries.iter().filter(has).map(|entry| entry.offset)
     }
 }
 
-fn summed(differences: impl Iterator<Item = u64>) -> impl Iterator<Item = u64> {
+/// Restores the values from differences as `write` stores them.
+fn prefix_sums(differences: impl Iterator<Item = u64>) -> impl Iterator<Item = u64> {
     differences.scan(0_u64, |sum, difference| {
         *sum = sum.wrapping_add(difference);
         Some(*sum)
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -134,7 +134,8 @@
     servers.get(&id).cloned().unwrap_or_else(|| format!("server-{:x}", id.0))
 }
 
-/// Converts a step observed in the core to a record of the first source, with the server names that it brought.
+/// Converts a step observed in the core to a record of the first source, with the server names that it
+/// brought.
 pub fn from_observed(observed: Observed) -> (Record, Vec<(ServerId, String)>) {
     let query_names = |names: core::Names| QueryNames {
         query: names.query,
--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -11,7 +11,7 @@
 use crate::header::Header;
 use crate::mask::Mask;
 use crate::merge::{MergeError, Merged, Notice, open};
-use crate::read::{End, Reader};
+use crate::read::{FileEnd, Reader};
 use crate::record::{Record, ServerNames, Source};
 use crate::replay::{Difference, Replay, Unverifiable};
 use crate::story::{Line, Teller};
@@ -173,7 +173,7 @@
 /// # Errors
 ///
 /// When it can't be read or written; then there is no file.
-pub fn copy(from: &Path, to: &Path, mask: Option<&Mask>) -> Result<(Written, End), ToolError> {
+pub fn copy(from: &Path, to: &Path, mask: Option<&Mask>) -> Result<(Written, FileEnd), ToolError> {
     let mut reader = open(from)?;
     if mask.is_some() && reader.header().masked {
         return Err(ToolError::Unfit(format!("{}: is masked already", from.display())));
@@ -195,8 +195,8 @@
         }
     }
     let notice = |what: String| Notice { path: from.to_owned(), what };
-    written.notices = reader.faults().into_iter().map(notice).collect();
-    let end = reader.end().unwrap_or(End::Open);
+    written.notices = reader.problems().into_iter().map(notice).collect();
+    let end = reader.end().unwrap_or(FileEnd::Unclosed);
     output.done(writer.finish().map_err(lost)?)?;
     Ok((written, end))
 }
@@ -397,8 +397,8 @@
     };
     if let Some(index) = index {
         let mut offsets: Vec<u64> = match pick {
-            Pick::Named(names) => names.iter().flat_map(|name| index.named(name)).collect(),
-            Pick::About(ids) => ids.iter().flat_map(|id| index.about(*id)).collect(),
+            Pick::Named(names) => names.iter().flat_map(|name| index.blocks_with_name(name)).collect(),
+            Pick::About(ids) => ids.iter().flat_map(|id| index.blocks_with_query(*id)).collect(),
         };
         offsets.sort_unstable();
         offsets.dedup();
@@ -412,7 +412,7 @@
         }
         effort.scanned += 1;
     }
-    for what in reader.faults() {
+    for what in reader.problems() {
         let notice = Notice { path: path.to_owned(), what };
         if !notices.contains(&notice) {
             notices.push(notice);
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 use badgergauge_core::*;
 use badgergauge_trace::record::{NotTaken, NotTakenReason, QueryNames};
-use badgergauge_trace::{End, Gap, Header, Reader, Record, ServerNames, Source, Writer};
+use badgergauge_trace::{FileEnd, Gap, Header, Reader, Record, ServerNames, Source, Writer};
 
 pub fn source(broker: &str, run: u64) -> Source {
     Source {
@@ -149,7 +149,7 @@
 }
 
 /// All that a file gives: its records, and how it ends; none where it can't be opened.
-pub fn read(bytes: &[u8]) -> Option<(Vec<Record>, End, usize)> {
+pub fn read(bytes: &[u8]) -> Option<(Vec<Record>, FileEnd, usize)> {
     let mut reader = Reader::open(Cursor::new(bytes)).ok()?;
     let mut records = Vec::new();
     while let Some(block) = reader.next_block().expect("memory does not fail") {
--- a/crates/trace/tests/damage.rs
+++ b/crates/trace/tests/damage.rs
@@ -6,8 +6,8 @@
 use std::collections::HashSet;
 use std::io::Cursor;
 
-use badgergauge_trace::frame::{self, Frame};
-use badgergauge_trace::{End, OpenError, Reader, Record, ServerNames};
+use badgergauge_trace::frame::{self, FrameHeader};
+use badgergauge_trace::{FileEnd, OpenError, Reader, Record, ServerNames};
 use common::*;
 use proptest::prelude::*;
 
@@ -19,11 +19,11 @@
 fn a_file_gives_back_what_was_written() {
     let records = steps(40);
     let (bytes, ends) = file(&records, 7, true);
-    assert_eq!(read(&bytes), Some((records.clone(), End::Whole, 0)));
+    assert_eq!(read(&bytes), Some((records.clone(), FileEnd::Complete, 0)));
     // Without a footer too: a broker that was killed between two blocks leaves that.
     let (open, _) = file(&records, 7, false);
     assert_eq!(open.len(), *ends.last().expect("some"));
-    assert_eq!(read(&open), Some((records, End::Open, 0)));
+    assert_eq!(read(&open), Some((records, FileEnd::Unclosed, 0)));
 }
 
 // A crash may cut a file anywhere: every block that is whole is read, none that is not, and it is said.
@@ -37,7 +37,7 @@
         if cut < header {
             let right = match found {
                 Err(OpenError::Empty) => cut == 0,
-                Err(OpenError::Short) => cut > 0,
+                Err(OpenError::Truncated) => cut > 0,
                 _ => false,
             };
             assert!(right, "cut at {cut}");
@@ -49,10 +49,10 @@
         assert_eq!((got.as_slice(), damage), (expected, 0), "cut at {cut}");
         let last = ends[whole];
         let right = match end {
-            End::Open => cut == last,
-            End::Half { at, bytes } => at as usize == last && last + bytes as usize == cut,
-            End::Tail { at } => whole == 4 && at as usize == last,
-            End::Whole => false,
+            FileEnd::Unclosed => cut == last,
+            FileEnd::Truncated { at, bytes } => at as usize == last && last + bytes as usize == cut,
+            FileEnd::DamagedIndex { at } => whole == 4 && at as usize == last,
+            FileEnd::Complete => false,
         };
         assert!(right, "cut at {cut}: {end:?}");
     }
@@ -82,14 +82,14 @@
             assert!(is_some_of(&got, &records), "byte {at} ^ {change}");
             if got.len() < records.len() {
                 assert!(
-                    damage > 0 || end != End::Whole,
+                    damage > 0 || end != FileEnd::Complete,
                     "byte {at} ^ {change}: records are gone and nothing is said"
                 );
                 // One block is lost at the most.
                 assert_eq!(got.len(), records.len() - 2, "byte {at} ^ {change}");
             }
             assert!(
-                at < last || end != End::Whole,
+                at < last || end != FileEnd::Complete,
                 "byte {at} ^ {change}: the index is damaged and nothing is said"
             );
             let mut reader = Reader::open(Cursor::new(&broken)).expect("opened before");
@@ -105,7 +105,7 @@
 fn a_damaged_block_is_named_with_its_steps() {
     let records = steps(9);
     let (mut bytes, ends) = file(&records, 3, true);
-    bytes[ends[1] + frame::FRAME_HEAD + 5] ^= 1;
+    bytes[ends[1] + frame::FRAME_HEADER_LEN + 5] ^= 1;
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("opens");
     let mut got = Vec::new();
     while let Some(block) = reader.next_block().expect("memory") {
@@ -125,18 +125,18 @@
 fn a_newer_minor_version_is_read_and_a_newer_major_one_refused() {
     let records = steps(2);
     let (bytes, ends) = file(&records, 2, true);
-    let message = bytes[frame::HEAD..ends[0]].to_vec();
+    let message = bytes[frame::PREAMBLE_LEN..ends[0]].to_vec();
     let with = |version, extra: &[u8]| {
         let message = [&message[..], extra].concat();
-        [&frame::head(version, &message)[..], &message, &bytes[ends[0]..ends[1]]].concat()
+        [&frame::encode_preamble(version, &message)[..], &message, &bytes[ends[0]..ends[1]]].concat()
     };
     // Field 100, of a kind that this build does not know, is skipped.
-    let newer = with((frame::VERSION.0, frame::VERSION.1 + 9), &[0xa2, 0x06, 0x02, b'h', b'i']);
+    let newer = with((frame::FORMAT_VERSION.0, frame::FORMAT_VERSION.1 + 9), &[0xa2, 0x06, 0x02, b'h', b'i']);
     assert_eq!(read(&newer).map(|(got, ..)| got), Some(records));
     let error = Reader::open(Cursor::new(with((2, 3), &[]))).err().expect("refused");
     assert_eq!(error.to_string(), "is of version 2.3, and this program reads versions 1.x");
     let foreign = Reader::open(Cursor::new(&b"no trace, but as long as the head of one"[..])).err();
-    assert!(matches!(foreign, Some(OpenError::Foreign)), "{foreign:?}");
+    assert!(matches!(foreign, Some(OpenError::NotATrace)), "{foreign:?}");
 }
 
 // A length that lies must not make a reader take memory: heads with every length and a right checksum.
@@ -144,11 +144,16 @@
 fn lengths_that_lie_take_no_memory() {
     let (bytes, ends) = file(&steps(2), 2, false);
     for (packed, raw) in [(u32::MAX, 1), (1, u32::MAX), (8 << 20, 32 << 20), (40, 32 << 20), (40, 0)] {
-        let lie = Frame { packed, raw, records: u32::MAX, ..Frame::default() };
+        let lie = FrameHeader {
+            compressed_len: packed,
+            uncompressed_len: raw,
+            records: u32::MAX,
+            ..FrameHeader::default()
+        };
         let file = [&bytes[..ends[1]], &lie.encode(), &[7; 40]].concat();
         let (got, end, damage) = read(&file).expect("opens");
         assert_eq!(got.len(), 2);
-        assert!(damage > 0 || end != End::Open, "{packed} {raw}");
+        assert!(damage > 0 || end != FileEnd::Unclosed, "{packed} {raw}");
     }
 }
 
@@ -204,7 +209,7 @@
     #[test]
     fn writer_and_reader_agree(records in any_step(), a_block in 1_usize..9) {
         let (bytes, _) = file(&records, a_block, true);
-        prop_assert_eq!(read(&bytes), Some((records, End::Whole, 0)));
+        prop_assert_eq!(read(&bytes), Some((records, FileEnd::Complete, 0)));
     }
 
     #[test]
--- a/src/bin/badgergauge/trace.rs
+++ b/src/bin/badgergauge/trace.rs
@@ -9,7 +9,7 @@
 use badgergauge_trace::align::Offset;
 use badgergauge_trace::mask::Mask;
 use badgergauge_trace::merge::{Merged, Notice, files, open, run_name};
-use badgergauge_trace::read::End;
+use badgergauge_trace::read::FileEnd;
 use badgergauge_trace::record::server_name;
 use badgergauge_trace::story::{Line, REASONS, Teller};
 use badgergauge_trace::summary::{Summary, Summing};
@@ -348,7 +348,7 @@
     for Notice { path, what } in notices {
         eprintln!("badgergauge: trace: {}: {what}", path.display());
         // An index that is missing costs time alone.
-        if *what != End::Open.to_string() {
+        if *what != FileEnd::Unclosed.to_string() {
             code = INCOMPLETE;
         }
     }
@@ -439,12 +439,12 @@
             "  {blocks} blocks, {steps} steps, {taken} queries taken, {missing} steps named as missing"
         ))?;
         let index = if indexed.is_some() { "indexed" } else { "no index" };
-        let end = reader.end().unwrap_or(End::Open);
+        let end = reader.end().unwrap_or(FileEnd::Unclosed);
         print(format!("  {index}, {end}"))?;
         for damage in reader.damage() {
             print(format!("  damaged: {damage}"))?;
         }
-        if !reader.damage().is_empty() || !matches!(end, End::Whole | End::Open) {
+        if !reader.damage().is_empty() || !matches!(end, FileEnd::Complete | FileEnd::Unclosed) {
             code = INCOMPLETE;
         }
     }
