--- a/crates/synth/src/world.rs
+++ b/crates/synth/src/world.rs
@@ -9,7 +9,7 @@
 use badgergauge_core::settings::SiteSettings;
 use badgergauge_core::{QueryId, ServerId, ServerState, Time, TimerId, Verdict};
 use badgergauge_trace::record::{ServerNames, Source, from_observed};
-use badgergauge_trace::retain::file_name;
+use badgergauge_trace::rotation::file_name;
 use badgergauge_trace::{Header, Writer};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,8 +1,10 @@
-//! Trace files: what a broker was told and what it decided, step by step, with the reasons.
+//! Trace files: every event that a broker's decision module received and every action that it returned, step
+//! by step, with the reasons.
 //!
-//! [`mod@write`] and [`read`] are the format (`docs/design/trace.md`), [`recorder`] writes it beside a running
-//! broker, and the rest are the tools of `badgergauge trace`. What is decided here is in modules without I/O:
-//! [`retain`], [`align`], [`replay`], [`sample`], [`track`].
+//! [`mod@write`] and [`read`] implement the file format (`docs/design/trace.md`), on top of [`frame`],
+//! [`wire`] and [`codec`]. [`recorder`] writes trace files for a running broker. The other modules are the
+//! tools of `badgergauge trace`. These modules hold logic without I/O: [`rotation`], [`align`], [`replay`],
+//! [`sample`], [`track`].
 
 pub mod align;
 pub mod codec;
@@ -14,7 +16,7 @@
 pub mod record;
 pub mod recorder;
 pub mod replay;
-pub mod retain;
+pub mod rotation;
 pub mod sample;
 pub mod story;
 pub mod summary;
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -1,5 +1,6 @@
-//! The recorder: a thread that writes what the loop hands it. The loop never waits for it: where the queue is
-//! full or the disk fails, steps are dropped and counted, and the trace says which and why.
+//! Records the steps of a running broker in trace files. A thread does the writing; the event loop hands it
+//! steps through a bounded queue and never waits for it. If the queue is full or the disk fails, steps are
+//! dropped and counted, and the trace reports which ones and why.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, BufWriter, Write};
@@ -14,67 +15,67 @@
 
 use crate::header::Header;
 use crate::record::{Gap, Record, ServerNames, Source};
-use crate::retain::{Do, Keeper, Limits, file_name, is_own};
+use crate::rotation::{Limits, RotationPolicy, StepAction, belongs_to, file_name};
 use crate::sample::Sampler;
 use crate::write::Writer;
 
-/// How often the thread looks whether a block is due, when nothing comes.
-const LOOK: Duration = Duration::from_millis(250);
-/// The loop's end waits so long at the most for what is in the queue: a disk that hangs must not keep the
-/// program.
-const LAST: Duration = Duration::from_secs(2);
-/// Drops are said once in so long.
-const SAY: Duration = Duration::from_secs(10);
+/// Interval at which the thread checks whether a block must be written while no messages arrive.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum time that [`Recorder::close`] waits for the queued steps to be written, so that a disk that does
+/// not respond can't keep the process from exiting.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Minimum interval between log messages about dropped steps.
+const DROP_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What is written to: a folder, or a stand-in of one that fails on purpose.
-pub trait Disk: Send {
-    /// Files of this broker that are there, with their sizes.
+/// Where trace files are written. Tests replace it by one that fails.
+pub trait Storage: Send {
+    /// Lists the trace files of this broker, with their sizes in bytes.
     ///
     /// # Errors
     ///
-    /// When the folder can't be read.
+    /// Returns an error if the files can't be listed.
     fn list(&mut self) -> io::Result<Vec<(String, u64)>>;
-    /// Makes a new file.
+    /// Creates a new file.
     ///
     /// # Errors
     ///
-    /// When it can't be made; one of that name may be there.
+    /// Returns an error if the file can't be created or exists already.
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Write + Send>>;
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// When it can't be removed.
+    /// Returns an error if the file can't be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A folder of a broker's own.
-pub struct Folder {
+/// A directory with the trace files of one broker. It may hold other files, which are ignored.
+pub struct Directory {
     path: PathBuf,
     broker: String,
 }
 
-impl Folder {
-    /// Makes the folder where it is missing.
+impl Directory {
+    /// Opens a directory, and creates it if it is missing.
     ///
     /// # Errors
     ///
-    /// When it can't be made or read.
+    /// Returns an error if the directory can't be created or read.
     pub fn open(path: &Path, broker: &str) -> io::Result<Self> {
         fs::create_dir_all(path)?;
-        let mut folder = Folder { path: path.to_owned(), broker: broker.to_owned() };
-        folder.list()?;
-        Ok(folder)
+        let mut directory = Directory { path: path.to_owned(), broker: broker.to_owned() };
+        directory.list()?;
+        Ok(directory)
     }
 }
 
-impl Disk for Folder {
+impl Storage for Directory {
     fn list(&mut self) -> io::Result<Vec<(String, u64)>> {
         let mut files = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
             if let Ok(name) = entry.file_name().into_string()
-                && is_own(&self.broker, &name)
+                && belongs_to(&self.broker, &name)
             {
                 files.push((name, entry.metadata()?.len()));
             }
@@ -92,45 +93,48 @@
     }
 }
 
-/// How a recorder is run.
+/// Options of a recorder.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
-    /// Whose steps these are.
+pub struct RecorderOptions {
+    /// The run to record.
     pub source: Source,
-    /// Bounds on what is kept.
+    /// Limits on the files.
     pub limits: Limits,
-    /// Steps that may wait for the thread.
+    /// Maximum number of steps in the queue to the thread.
     pub queue: usize,
 }
 
 enum Message {
     Step(Box<Record>, Vec<(ServerId, String)>),
-    /// Close the file under way, and go on with the next; with other bounds, if they are given.
+    /// Closes the open file, so that the next step starts a new one, and sets new limits if given.
     Rotate(Option<Limits>),
+    /// Closes the open file and ends the thread, after reporting the steps dropped last, if any.
     Close(Option<Gap>),
 }
 
-/// What the recorder has done so far.
+/// Counters of a recorder.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct Counters {
     /// Steps in blocks that were written.
     pub written: AtomicU64,
-    /// Steps dropped as the queue was full.
-    pub queue_full: AtomicU64,
-    /// Steps lost as the disk failed.
-    pub disk: AtomicU64,
+    /// Steps dropped because the queue was full.
+    pub dropped_queue_full: AtomicU64,
+    /// Steps lost because the disk failed.
+    pub lost_disk_failure: AtomicU64,
 }
 
-/// The loop's side.
+/// Handle of the event loop to the recorder's thread.
 pub struct Recorder {
     sender: SyncSender<Message>,
-    /// Tells when the thread has ended.
-    over: Receiver<()>,
-    lost: Option<Gap>,
-    /// Names that a dropped step brought: the next one brings them.
+    /// Receives a message when the thread has ended.
+    ended: Receiver<()>,
+    /// Steps dropped since the last one that was queued.
+    dropped: Option<Gap>,
+    /// Server names from dropped steps; they are sent with the next step.
     names: Vec<(ServerId, String)>,
-    counts: Arc<Counts>,
-    said: Option<Instant>,
+    counters: Arc<Counters>,
+    /// When dropped steps were last logged.
+    drop_logged: Option<Instant>,
 }
 
 impl Recorder {
@@ -138,39 +142,40 @@
     ///
     /// # Errors
     ///
-    /// When the folder's files can't be listed, or there is no thread to be had.
-    pub fn start(plan: Plan, mut disk: Box<dyn Disk>) -> io::Result<Self> {
-        let (sender, messages) = sync_channel(plan.queue.max(1));
-        let (ended, over) = sync_channel(1);
-        let counts = Arc::new(Counts::default());
-        let keeper = Keeper::new(plan.limits, disk.list()?);
-        let scribe = Scribe {
-            disk,
-            keeper,
-            sampler: Sampler::new(plan.source.sample.clone()),
-            source: plan.source,
+    /// Returns an error if the existing files can't be listed or the thread can't be started.
+    pub fn start(options: RecorderOptions, mut storage: Box<dyn Storage>) -> io::Result<Self> {
+        let (sender, messages) = sync_channel(options.queue.max(1));
+        let (ended_sender, ended) = sync_channel(1);
+        let counters = Arc::new(Counters::default());
+        let policy = RotationPolicy::new(options.limits, storage.list()?);
+        let worker = Worker {
+            storage,
+            policy,
+            sampler: Sampler::new(options.source.sample.clone()),
+            source: options.source,
             servers: ServerNames::new(),
             file: None,
             started: Instant::now(),
-            counts: counts.clone(),
+            counters: counters.clone(),
             closed_records: 0,
         };
         thread::Builder::new().name("trace".into()).spawn(move || {
-            scribe.run(&messages);
-            let _ = ended.send(());
+            worker.run(&messages);
+            let _ = ended_sender.send(());
         })?;
-        Ok(Recorder { sender, over, lost: None, names: Vec::new(), counts, said: None })
+        Ok(Recorder { sender, ended, dropped: None, names: Vec::new(), counters, drop_logged: None })
     }
 
-    /// What it has done so far.
-    pub fn counts(&self) -> &Counts {
-        &self.counts
+    /// Returns the recorder's counters.
+    pub fn counters(&self) -> &Counters {
+        &self.counters
     }
 
-    /// Hands over a step, with the servers named since the last one. Never waits.
+    /// Queues a step, with the server names that are new since the last one. Never blocks: if the queue is
+    /// full, the step is dropped and the next one that is queued reports the gap.
     pub fn offer(&mut self, mut record: Record, names: Vec<(ServerId, String)>) {
         let sequence = record.sequence;
-        record.gap = self.lost.take();
+        record.gap = self.dropped.take();
         self.names.extend(names);
         let message = Message::Step(Box::new(record), std::mem::take(&mut self.names));
         let Err(error) = self.sender.try_send(message) else { return };
@@ -186,79 +191,81 @@
             last: sequence,
             reason: "the queue was full".into(),
         });
-        self.lost = Some(Gap { last: sequence, ..before });
-        let count = self.counts.queue_full.fetch_add(1, Ordering::Relaxed) + 1;
-        if self.said.is_none_or(|said| said.elapsed() >= SAY) {
-            self.said = Some(Instant::now());
-            tracing::warn!("trace: the queue is full, {count} steps dropped so far");
+        self.dropped = Some(Gap { last: sequence, ..before });
+        let count = self.counters.dropped_queue_full.fetch_add(1, Ordering::Relaxed) + 1;
+        if self.drop_logged.is_none_or(|logged| logged.elapsed() >= DROP_LOG_INTERVAL) {
+            self.drop_logged = Some(Instant::now());
+            tracing::warn!("trace: the queue to the writer is full; {count} steps dropped since the start");
         }
     }
 
-    /// Closes the file under way and goes on with the next, with other bounds if they are given. Gives whether
-    /// the thread was told: with a full queue it is not.
+    /// Closes the open file, so that the next step starts a new one, and sets new limits if given. Returns
+    /// whether the request was queued; with a full queue it is not.
     pub fn rotate(&mut self, limits: Option<Limits>) -> bool {
         self.sender.try_send(Message::Rotate(limits)).is_ok()
     }
 
-    /// Writes what was handed over and closes the file. Gives whether that was done in time.
+    /// Writes the queued steps and closes the file. Returns whether that was finished within the timeout of 2
+    /// s.
     pub fn close(mut self) -> bool {
-        let until = Instant::now() + LAST;
-        let mut message = Message::Close(self.lost.take());
-        // The queue may be full: the thread makes room unless its disk hangs.
-        while let Err(TrySendError::Full(back)) = self.sender.try_send(message) {
-            message = back;
-            if Instant::now() >= until {
+        let deadline = Instant::now() + CLOSE_TIMEOUT;
+        let mut message = Message::Close(self.dropped.take());
+        // A full queue drains unless the disk does not respond.
+        while let Err(TrySendError::Full(unsent)) = self.sender.try_send(message) {
+            message = unsent;
+            if Instant::now() >= deadline {
                 return false;
             }
             thread::sleep(Duration::from_millis(5));
         }
-        self.over.recv_timeout(until.saturating_duration_since(Instant::now())).is_ok()
+        self.ended.recv_timeout(deadline.saturating_duration_since(Instant::now())).is_ok()
     }
 }
 
-/// The thread's side.
-struct Scribe {
-    disk: Box<dyn Disk>,
-    keeper: Keeper,
+/// State of the recorder's thread.
+struct Worker {
+    storage: Box<dyn Storage>,
+    policy: RotationPolicy,
     sampler: Sampler,
     source: Source,
     servers: ServerNames,
+    /// The open file and its name.
     file: Option<(String, Writer<Box<dyn Write + Send>>)>,
     started: Instant,
-    counts: Arc<Counts>,
-    /// Records in files that are closed.
+    counters: Arc<Counters>,
+    /// Number of records in closed files.
     closed_records: u64,
 }
 
-impl Scribe {
+impl Worker {
     fn run(mut self, messages: &Receiver<Message>) {
         loop {
-            match messages.recv_timeout(LOOK) {
+            match messages.recv_timeout(POLL_INTERVAL) {
                 Ok(Message::Step(record, names)) => {
                     self.servers.extend(names);
                     self.step(*record);
                 }
                 Ok(Message::Rotate(limits)) => {
                     if let Some(limits) = limits {
-                        self.keeper.limit(limits);
+                        self.policy.set_limits(limits);
                     }
                     self.close();
                 }
                 Ok(Message::Close(gap)) => {
                     if let Some(gap) = gap {
-                        self.keeper.lose(gap.first, gap.last, &gap.reason);
+                        self.policy.add_lost(gap.first, gap.last, &gap.reason);
                     }
                     break;
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => break,
             }
-            if self.keeper.flush_due(self.started.elapsed()) {
+            if self.policy.flush_due(self.started.elapsed()) {
                 self.flush();
             }
         }
-        // What is missing at the end is said by a record of its own.
-        if let Some(gap) = self.keeper.take_lost() {
+        // No step follows that could report a gap at the end, so an additional record reports it.
+        if let Some(gap) = self.policy.take_lost() {
             let note = format!("{} steps before the end are missing", gap.last - gap.first + 1);
             let record = Record { sequence: gap.last + 1, note, gap: Some(gap), ..Record::default() };
             self.step(record);
@@ -268,51 +275,52 @@
 
     fn step(&mut self, mut record: Record) {
         if let Some(gap) = record.gap.take() {
-            self.keeper.lose(gap.first, gap.last, &gap.reason);
+            self.policy.add_lost(gap.first, gap.last, &gap.reason);
         }
         if !self.sampler.thin(&mut record) {
             return;
         }
         let size = self.file.as_ref().map_or(0, |(_, writer)| writer.size());
-        match self.keeper.step(self.started.elapsed(), size) {
-            Do::Drop => {
-                self.counts.disk.fetch_add(1, Ordering::Relaxed);
-                self.keeper.drop_step(record.sequence);
+        match self.policy.step(self.started.elapsed(), size) {
+            StepAction::Drop => {
+                self.counters.lost_disk_failure.fetch_add(1, Ordering::Relaxed);
+                self.policy.drop_step(record.sequence);
                 return;
             }
-            Do::Add => {}
-            Do::Next => {
+            StepAction::Add => {}
+            StepAction::RotateFile => {
                 self.close();
                 self.open(record.sequence);
             }
-            Do::Open => self.open(record.sequence),
+            StepAction::OpenFile => self.open(record.sequence),
         }
         let Some((_, writer)) = &mut self.file else {
-            self.counts.disk.fetch_add(1, Ordering::Relaxed);
-            self.keeper.drop_step(record.sequence);
+            self.counters.lost_disk_failure.fetch_add(1, Ordering::Relaxed);
+            self.policy.drop_step(record.sequence);
             return;
         };
-        record.gap = self.keeper.take_lost();
+        record.gap = self.policy.take_lost();
         let before = writer.pending();
         if let Err(error) = writer.add(&record, &self.servers) {
             self.fail(&error, before, Some(&record));
         } else if writer.pending().is_none() {
-            self.keeper.flushed(self.started.elapsed());
-            self.count();
+            self.policy.flushed(self.started.elapsed());
+            self.update_written();
         }
     }
 
+    /// Opens a file that starts with the given step, after removing old files to make room for it.
     fn open(&mut self, first: u64) {
-        for name in self.keeper.surplus() {
-            if let Err(error) = self.disk.remove(&name) {
-                tracing::warn!("trace: {name} can't be removed: {error}");
+        for name in self.policy.take_surplus() {
+            if let Err(error) = self.storage.remove(&name) {
+                tracing::warn!("trace: can't remove old file {name}: {error}");
             }
         }
         let name = file_name(&self.source.broker, self.source.run, first);
         let header = Header::new(vec![self.source.clone()], false);
-        match self.disk.create(&name).and_then(|file| Writer::new(file, header)) {
+        match self.storage.create(&name).and_then(|file| Writer::new(file, header)) {
             Ok(writer) => {
-                self.keeper.opened(self.started.elapsed());
+                self.policy.opened(self.started.elapsed());
                 self.file = Some((name, writer));
             }
             Err(error) => self.fail(&error, None, None),
@@ -324,16 +332,16 @@
         let pending = writer.pending();
         match writer.flush() {
             Ok(()) => {
-                self.keeper.flushed(self.started.elapsed());
-                self.count();
+                self.policy.flushed(self.started.elapsed());
+                self.update_written();
             }
             Err(error) => self.fail(&error, pending, None),
         }
     }
 
-    fn count(&mut self) {
-        let now = self.file.as_ref().map_or(0, |(_, writer)| writer.written());
-        self.counts.written.store(self.closed_records + now, Ordering::Relaxed);
+    fn update_written(&mut self) {
+        let in_open_file = self.file.as_ref().map_or(0, |(_, writer)| writer.written());
+        self.counters.written.store(self.closed_records + in_open_file, Ordering::Relaxed);
     }
 
     fn close(&mut self) {
@@ -341,28 +349,29 @@
         let Some((name, mut writer)) = self.file.take() else { return };
         self.closed_records += writer.written();
         let closed = writer.close();
-        self.keeper.closed(name, writer.size());
+        self.policy.closed(name, writer.size());
         if let Err(error) = closed {
             self.fail(&error, None, None);
         }
     }
 
-    /// The disk has failed: what no block holds is lost, with the step under way and the gap that it carried.
-    fn fail(&mut self, error: &io::Error, pending: Option<(u64, u64)>, under_way: Option<&Record>) {
-        let why = format!("disk: {error}");
+    /// Handles a disk failure. The steps of the open block (`pending`, first and last) are lost, and so is
+    /// the record that was being added (`current`), with the gap that it reported.
+    fn fail(&mut self, error: &io::Error, pending: Option<(u64, u64)>, current: Option<&Record>) {
+        let reason = format!("disk: {error}");
         if let Some((name, writer)) = self.file.take() {
             self.closed_records += writer.written();
-            self.keeper.closed(name, writer.size());
+            self.policy.closed(name, writer.size());
         }
-        if let Some(Gap { first, last, reason }) = under_way.and_then(|record| record.gap.as_ref()) {
-            self.keeper.lose(*first, *last, reason);
+        if let Some(Gap { first, last, reason }) = current.and_then(|record| record.gap.as_ref()) {
+            self.policy.add_lost(*first, *last, reason);
         }
-        let lost = pending.into_iter().chain(under_way.map(|record| (record.sequence, record.sequence)));
+        let lost = pending.into_iter().chain(current.map(|record| (record.sequence, record.sequence)));
         for (first, last) in lost {
-            self.counts.disk.fetch_add(last - first + 1, Ordering::Relaxed);
-            self.keeper.lose(first, last, &why);
+            self.counters.lost_disk_failure.fetch_add(last - first + 1, Ordering::Relaxed);
+            self.policy.add_lost(first, last, &reason);
         }
-        let wait = self.keeper.failed(self.started.elapsed(), &why);
-        tracing::warn!("trace: {why}; tried again in {} ms", wait.as_millis());
+        let delay = self.policy.failed(self.started.elapsed(), &reason);
+        tracing::warn!("trace: {reason}; retrying in {} ms", delay.as_millis());
     }
 }
--- a/src/record.rs
+++ b/src/record.rs
@@ -3,8 +3,8 @@
 use std::io;
 
 use badgergauge_trace::record::from_observed;
-use badgergauge_trace::recorder::{Folder, Plan, Recorder};
-use badgergauge_trace::retain::Limits;
+use badgergauge_trace::recorder::{Directory, Recorder, RecorderOptions};
+use badgergauge_trace::rotation::Limits;
 use badgergauge_trace::{Record, Source};
 
 use crate::config::Config;
@@ -35,7 +35,7 @@
         let named = |error: io::Error| {
             io::Error::new(error.kind(), format!("trace.dir: {}: {error}", trace.dir.display()))
         };
-        let folder = Folder::open(&trace.dir, &config.name).map_err(named)?;
+        let directory = Directory::open(&trace.dir, &config.name).map_err(named)?;
         let sampled = trace.sample.iter().any(|share| *share < 1.0);
         let source = Source {
             broker: config.name.clone(),
@@ -49,8 +49,8 @@
             sample: if sampled { trace.sample.clone() } else { Vec::new() },
             moved: 0,
         };
-        let plan = Plan { source, limits: limits(&trace), queue: trace.queue };
-        let recorder = Recorder::start(plan, Box::new(folder)).map_err(named)?;
+        let options = RecorderOptions { source, limits: limits(&trace), queue: trace.queue };
+        let recorder = Recorder::start(options, Box::new(directory)).map_err(named)?;
         core.observe();
         core.note("started");
         tracing::info!("trace: recording to {}", trace.dir.display());
