--- a/crates/trace/src/codec.rs
+++ b/crates/trace/src/codec.rs
@@ -1,4 +1,4 @@
-//! Records to the messages of a block, and back.
+//! Conversion between records and the protobuf messages of a block.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -11,6 +11,8 @@
 use crate::record::{Gap, NotTaken, NotTakenReason, QueryNames, Record, ServerNames, server_name};
 use crate::wire::{self, action, event};
 
+// The tables below give the values of each enum by their code in the file: the order is part of the format.
+
 const VERDICTS: [Verdict; 8] = [
     Verdict::Served,
     Verdict::Error,
@@ -22,6 +24,7 @@
     Verdict::NotSent,
 ];
 const STATES: [ServerState; 3] = [ServerState::Up, ServerState::Draining, ServerState::Removed];
+/// Why the home replica was left; `None` if the part was sent to it.
 const LEFT: [Option<Left>; 9] = [
     None,
     Some(Left::Busy),
@@ -45,34 +48,43 @@
     Missing::Held,
 ];
 
-fn code<T: PartialEq>(all: &[T], value: &T) -> u32 {
-    all.iter().position(|known| known == value).unwrap_or(0) as u32
+/// Returns the position of a value in a table, or 0 if the table lacks it.
+fn to_code<T: PartialEq>(table: &[T], value: &T) -> u32 {
+    table.iter().position(|known| known == value).unwrap_or(0) as u32
 }
 
-/// What makes a block unreadable although its checksum holds: a writer of another mind.
+/// Why a block with a valid checksum can't be decoded: its writer does not follow the format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DecodeError(pub &'static str);
 
-fn known<T: Copy>(all: &[T], code: u32, what: &'static str) -> Result<T, DecodeError> {
-    all.get(code as usize).copied().ok_or(DecodeError(what))
+/// Returns the value at a position in a table, or an error with this reason if there is none.
+fn from_code<T: Copy>(table: &[T], code: u32, reason: &'static str) -> Result<T, DecodeError> {
+    table.get(code as usize).copied().ok_or(DecodeError(reason))
 }
 
-fn nanos(span: Duration) -> u64 {
-    u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
+fn nanos(duration: Duration) -> u64 {
+    u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// Steps on their way into a block.
+/// Encodes records into the message of a block.
+///
+/// Sequence numbers, times and ids are stored as differences to the previous value in the block, and servers
+/// as indexes into the block's table.
 #[derive(Default)]
 pub struct Encoder {
     block: wire::Block,
-    indexes: HashMap<ServerId, u32>,
+    /// Index of each server in the block's table.
+    server_indexes: HashMap<ServerId, u32>,
+    /// Sequence number of the last step, by source.
     sequences: BTreeMap<u32, u64>,
+    /// Time of the last step in nanoseconds.
     time: i64,
+    /// The last id of a query or a part.
     id: u64,
 }
 
 impl Encoder {
-    /// Adds a record. Gives about how many bytes the block has grown by.
+    /// Adds a record to the block. Returns the approximate number of bytes by which the block has grown.
     pub fn add(&mut self, record: &Record, servers: &ServerNames) -> usize {
         let time = record.time.0 as i64;
         let sequence = self.sequences.entry(record.source).or_default();
@@ -89,16 +101,16 @@
             }),
             ..wire::Step::default()
         };
-        let refused = |n: &NotTaken| wire::NotTaken {
+        let not_taken = |n: &NotTaken| wire::NotTaken {
             class: n.class as u32,
             why: u32::from(n.reason == NotTakenReason::NameInUse),
         };
-        step.not_taken = record.not_taken.iter().map(refused).collect();
-        let mut names = record.query_names.iter();
+        step.not_taken = record.not_taken.iter().map(not_taken).collect();
+        let mut query_names = record.query_names.iter();
         let mut last_query = None;
         step.events.reserve_exact(record.events.len());
         for event in &record.events {
-            let kind = self.event(event, &mut names, &mut last_query, servers);
+            let kind = self.event(event, &mut query_names, &mut last_query, servers);
             step.events.push(wire::Event { kind: Some(kind) });
         }
         step.actions.reserve_exact(record.actions.len());
@@ -111,18 +123,20 @@
         size
     }
 
-    /// The block so far; the next one starts from nothing.
+    /// Returns the block and resets the encoder for the next one.
     pub fn take(&mut self) -> wire::Block {
         std::mem::take(self).block
     }
 
+    /// Returns the difference of an id to the previous one in the block.
     fn id(&mut self, id: u64) -> i64 {
         id.wrapping_sub(std::mem::replace(&mut self.id, id)) as i64
     }
 
+    /// Returns the index of a server in the block's table, and adds it if it is new.
     fn server(&mut self, id: ServerId, servers: &ServerNames) -> u32 {
         let block = &mut self.block;
-        *self.indexes.entry(id).or_insert_with(|| {
+        *self.server_indexes.entry(id).or_insert_with(|| {
             block.servers.push(wire::Server { id: id.0, name: server_name(servers, id) });
             block.servers.len() as u32 - 1
         })
@@ -131,13 +145,13 @@
     fn event<'a>(
         &mut self,
         event: &Event,
-        names: &mut impl Iterator<Item = &'a QueryNames>,
+        query_names: &mut impl Iterator<Item = &'a QueryNames>,
         last_query: &mut Option<u64>,
         servers: &ServerNames,
     ) -> event::Kind {
         match event {
             Event::Query(query) => {
-                let named = names.next().filter(|named| named.query == query.id);
+                let names = query_names.next().filter(|names| names.query == query.id);
                 *last_query = Some(query.number.0);
                 event::Kind::Query(wire::Query {
                     id: self.id(query.id.0),
@@ -146,8 +160,8 @@
                     key: query.key,
                     repeated_try: query.repeated,
                     left: nanos(query.left),
-                    name: named.map(|named| named.name.clone()).unwrap_or_default(),
-                    idempotency_key: named.and_then(|named| named.idempotency.clone()).unwrap_or_default(),
+                    name: names.map(|names| names.name.clone()).unwrap_or_default(),
+                    idempotency_key: names.and_then(|names| names.idempotency.clone()).unwrap_or_default(),
                     number: (query.number.0 != query.id.0).then_some(query.number.0),
                 })
             }
@@ -161,15 +175,15 @@
             Event::Outcome { part, attempt, verdict, took, load } => event::Kind::Outcome(wire::Outcome {
                 part: self.id(part.0),
                 attempt: *attempt,
-                verdict: code(&VERDICTS, verdict),
+                verdict: to_code(&VERDICTS, verdict),
                 took: nanos(*took),
-                load: load_of(load),
+                load: load_to_wire(load),
             }),
             Event::Probed { server, verdict, took, load } => event::Kind::Probed(wire::Probed {
                 server: self.server(*server, servers),
-                verdict: code(&VERDICTS, verdict),
+                verdict: to_code(&VERDICTS, verdict),
                 took: nanos(*took),
-                load: load_of(load),
+                load: load_to_wire(load),
             }),
             Event::ClientGone(query) => event::Kind::ClientGone(self.id(query.0)),
             Event::Timer(timer) => event::Kind::Timer(timer.0),
@@ -179,7 +193,7 @@
             Event::Told { server, class, verdict, took } => event::Kind::Told(wire::Told {
                 server: self.server(*server, servers),
                 class: *class as u32,
-                verdict: code(&VERDICTS, verdict),
+                verdict: to_code(&VERDICTS, verdict),
                 took: nanos(*took),
             }),
         }
@@ -190,19 +204,22 @@
             server: self.server(line.server, servers),
             zone: line.zone,
             cell: line.cell,
-            state: code(&STATES, &line.state),
+            state: to_code(&STATES, &line.state),
             started: line.started.map(|at| at.0),
             until: line.until.map(|at| at.0),
         };
         wire::Listing { lines: lines.iter().map(line).collect() }
     }
 
-    fn ending(&mut self, why: &Ending) -> wire::Ending {
+    fn ending(&mut self, ending: &Ending) -> wire::Ending {
         let missing = |(part, missing): &(PartId, Missing)| wire::Missing {
             part: self.id(part.0),
-            why: code(&MISSING, missing),
+            why: to_code(&MISSING, missing),
         };
-        wire::Ending { cause: code(&CAUSES, &why.cause), missing: why.missing.iter().map(missing).collect() }
+        wire::Ending {
+            cause: to_code(&CAUSES, &ending.cause),
+            missing: ending.missing.iter().map(missing).collect(),
+        }
     }
 
     fn action(&mut self, action: &Action, now: Time, servers: &ServerNames) -> action::Kind {
@@ -212,7 +229,7 @@
                 server: self.server(*server, servers),
                 time_out: nanos(*time_out),
                 home: self.server(why.home, servers),
-                left: code(&LEFT, &why.left),
+                left: to_code(&LEFT, &why.left),
                 predicted: why.predicted,
                 allowed: why.allowed,
             }),
@@ -244,7 +261,8 @@
     }
 }
 
-fn load_of(load: &LoadReport) -> Option<wire::Load> {
+/// Encodes a load report; an empty one is left out.
+fn load_to_wire(load: &LoadReport) -> Option<wire::Load> {
     (*load != LoadReport::default()).then_some(wire::Load {
         held: load.held,
         waiting: load.waiting,
@@ -253,7 +271,7 @@
     })
 }
 
-fn load_from(load: Option<wire::Load>) -> LoadReport {
+fn load_from_wire(load: Option<wire::Load>) -> LoadReport {
     load.map_or_else(LoadReport::default, |load| LoadReport {
         held: load.held,
         waiting: load.waiting,
@@ -262,11 +280,12 @@
     })
 }
 
-/// Reads a block's records, and the names of its servers into `servers`.
+/// Decodes a block's records, and adds the names of its servers to `servers`. `sources` is the number of
+/// sources in the header.
 ///
 /// # Errors
 ///
-/// When it says something that no writer says; then nothing of it is given.
+/// Returns an error if any value is invalid; then no record of the block is returned.
 pub fn decode(
     block: wire::Block,
     sources: usize,
@@ -279,7 +298,7 @@
     let mut records = Vec::with_capacity(block.steps.len());
     for step in block.steps {
         if step.source as usize >= sources {
-            return Err(DecodeError("a source that the header does not name"));
+            return Err(DecodeError("source index that the header does not list"));
         }
         let sequence = sequences.entry(step.source).or_default();
         *sequence = sequence.wrapping_add(step.sequence);
@@ -287,7 +306,7 @@
         let mut record = Record {
             source: step.source,
             sequence: *sequence,
-            time: Time(u64::try_from(time).map_err(|_| DecodeError("a time before the clock's zero"))?),
+            time: Time(u64::try_from(time).map_err(|_| DecodeError("time before the zero of the clock"))?),
             versions: step.versions,
             note: step.note,
             gap: step.gap.map(|gap| Gap {
@@ -301,11 +320,14 @@
         };
         decoder.last_query = None;
         for not in step.not_taken {
-            let reason =
-                known(&[NotTakenReason::Full, NotTakenReason::NameInUse], not.why, "an unknown refusal")?;
+            let reason = from_code(
+                &[NotTakenReason::Full, NotTakenReason::NameInUse],
+                not.why,
+                "unknown reason for a query not taken",
+            )?;
             record.not_taken.push(NotTaken { class: not.class as usize, reason });
         }
-        // A kind that a newer writer knows is skipped, as its fields are.
+        // Kinds of events and actions from a newer minor version are skipped, as unknown fields are.
         for kind in step.events.into_iter().filter_map(|event| event.kind) {
             let event = decoder.event(kind, &mut record.query_names)?;
             record.events.push(event);
@@ -321,31 +343,34 @@
     Ok(records)
 }
 
+/// State of decoding a block; see [`Encoder`].
 struct Decoder<'a> {
     servers: &'a [ServerId],
     id: u64,
+    /// Number of the last query in the step.
     last_query: Option<u64>,
 }
 
 impl Decoder<'_> {
+    /// Restores an id from its difference to the previous one in the block.
     fn id(&mut self, delta: i64) -> u64 {
         self.id = self.id.wrapping_add(delta as u64);
         self.id
     }
 
     fn server(&self, index: u32) -> Result<ServerId, DecodeError> {
-        known(self.servers, index, "a server that the block does not name")
+        from_code(self.servers, index, "server index that the block does not list")
     }
 
-    fn event(&mut self, kind: event::Kind, named: &mut Vec<QueryNames>) -> Result<Event, DecodeError> {
-        let verdict = |code| known(&VERDICTS, code, "an unknown verdict");
+    fn event(&mut self, kind: event::Kind, query_names: &mut Vec<QueryNames>) -> Result<Event, DecodeError> {
+        let verdict = |code| from_code(&VERDICTS, code, "unknown verdict");
         Ok(match kind {
             event::Kind::Query(query) => {
                 let id = self.id(query.id);
                 let number = query.number.unwrap_or(id);
                 self.last_query = Some(number);
                 let idempotency = Some(query.idempotency_key).filter(|key| !key.is_empty());
-                named.push(QueryNames { query: QueryId(id), name: query.name, idempotency });
+                query_names.push(QueryNames { query: QueryId(id), name: query.name, idempotency });
                 Event::Query(Query {
                     id: QueryId(id),
                     number: QueryNumber(number),
@@ -359,7 +384,7 @@
             event::Kind::Part(part) => Event::Part(Part {
                 id: PartId(self.id(part.id)),
                 query: QueryNumber(
-                    part.query.or(self.last_query).ok_or(DecodeError("a part without its query"))?,
+                    part.query.or(self.last_query).ok_or(DecodeError("part without a query"))?,
                 ),
                 shard: ShardId(part.shard),
                 weight: part.weight,
@@ -370,13 +395,13 @@
                 attempt: outcome.attempt,
                 verdict: verdict(outcome.verdict)?,
                 took: Duration::from_nanos(outcome.took),
-                load: load_from(outcome.load),
+                load: load_from_wire(outcome.load),
             },
             event::Kind::Probed(probed) => Event::Probed {
                 server: self.server(probed.server)?,
                 verdict: verdict(probed.verdict)?,
                 took: Duration::from_nanos(probed.took),
-                load: load_from(probed.load),
+                load: load_from_wire(probed.load),
             },
             event::Kind::ClientGone(query) => Event::ClientGone(QueryId(self.id(query))),
             event::Kind::Timer(timer) => Event::Timer(TimerId(timer)),
@@ -398,7 +423,7 @@
                 server: self.server(line.server)?,
                 zone: line.zone,
                 cell: line.cell,
-                state: known(&STATES, line.state, "an unknown state")?,
+                state: from_code(&STATES, line.state, "unknown server state")?,
                 started: line.started.map(Time),
                 until: line.until.map(Time),
             })
@@ -406,12 +431,15 @@
         list.lines.iter().map(line).collect()
     }
 
-    fn ending(&mut self, why: Option<wire::Ending>) -> Result<Ending, DecodeError> {
-        let why = why.unwrap_or_default();
-        let cause = known(&CAUSES, why.cause, "an unknown cause")?;
-        let mut missing = Vec::with_capacity(why.missing.len());
-        for one in why.missing {
-            missing.push((PartId(self.id(one.part)), known(&MISSING, one.why, "an unknown want")?));
+    fn ending(&mut self, ending: Option<wire::Ending>) -> Result<Ending, DecodeError> {
+        let ending = ending.unwrap_or_default();
+        let cause = from_code(&CAUSES, ending.cause, "unknown cause of an ending")?;
+        let mut missing = Vec::with_capacity(ending.missing.len());
+        for part in ending.missing {
+            missing.push((
+                PartId(self.id(part.part)),
+                from_code(&MISSING, part.why, "unknown reason for a missing part")?,
+            ));
         }
         Ok(Ending { cause, missing })
     }
@@ -424,7 +452,7 @@
                 time_out: Duration::from_nanos(send.time_out),
                 why: Choice {
                     home: self.server(send.home)?,
-                    left: known(&LEFT, send.left, "an unknown reason")?,
+                    left: from_code(&LEFT, send.left, "unknown reason for leaving the home replica")?,
                     predicted: send.predicted,
                     allowed: send.allowed,
                 },
--- a/crates/trace/src/header.rs
+++ b/crates/trace/src/header.rs
@@ -1,21 +1,21 @@
-//! What a file says of itself.
+//! Header of a trace file.
 
 use crate::record::Source;
 use crate::wire;
 
-/// A file's header.
+/// Header of a trace file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Header {
-    /// Whose records it holds.
+    /// The runs that the file's records belong to.
     pub sources: Vec<Source>,
-    /// Whether keys have been replaced.
+    /// Whether keys have been replaced by [`crate::mask`].
     pub masked: bool,
-    /// The program that wrote it, and its version.
+    /// Name and version of the program that wrote the file.
     pub made_by: String,
 }
 
 impl Header {
-    /// A header of this build.
+    /// Creates a header with the name and version of this build.
     pub fn new(sources: Vec<Source>, masked: bool) -> Self {
         Header { sources, masked, made_by: concat!("badgergauge ", env!("CARGO_PKG_VERSION")).to_owned() }
     }
--- a/crates/trace/src/mask.rs
+++ b/crates/trace/src/mask.rs
@@ -1,47 +1,48 @@
-//! Replacing title numbers and idempotency keys by stand-in values. No I/O.
+//! Pseudonymization of title numbers and idempotency keys. Does no I/O.
 
 use badgergauge_core::Event;
 
 use crate::record::Record;
 
-/// Replaces keys: the same key gets the same stand-in wherever the same secret is used, and without the
-/// secret a stand-in tells nothing of what it stands for.
+/// Replaces keys by pseudonyms. The same key gets the same pseudonym wherever the same secret is used;
+/// without the secret, a pseudonym reveals nothing about its key.
 pub struct Mask {
     secret: [u8; 32],
 }
 
-/// What a secret is derived for: the same words in another program give other stand-ins.
-const PURPOSE: &str = "badgergauge 2026-12-01 trace mask";
+/// Context of the key derivation: the same secret gives other pseudonyms in other programs.
+const KEY_CONTEXT: &str = "badgergauge 2026-12-01 trace mask";
 
 impl Mask {
-    /// From a secret of any length.
+    /// Creates a mask from a secret of any length.
     pub fn new(secret: &[u8]) -> Self {
-        Mask { secret: blake3::derive_key(PURPOSE, secret) }
+        Mask { secret: blake3::derive_key(KEY_CONTEXT, secret) }
     }
 
-    /// The stand-in of a key.
+    /// Returns the pseudonym of a key.
     pub fn key(&self, key: u64) -> u64 {
+        // The first byte, 0 here and 1 for idempotency keys, keeps the two kinds of input distinct.
         let mut input = [0; 9];
         input[1..].copy_from_slice(&key.to_le_bytes());
         let hash = blake3::keyed_hash(&self.secret, &input);
         hash.as_bytes().first_chunk().map_or(0, |bytes| u64::from_le_bytes(*bytes))
     }
 
-    /// The stand-in of an idempotency key.
-    pub fn word(&self, word: &str) -> String {
-        let input = [&[1], word.as_bytes()].concat();
+    /// Returns the pseudonym of an idempotency key.
+    pub fn idempotency_key(&self, key: &str) -> String {
+        let input = [&[1], key.as_bytes()].concat();
         blake3::keyed_hash(&self.secret, &input).to_hex()[..32].to_owned()
     }
 
-    /// Replaces all keys of a record.
+    /// Replaces all keys in a record.
     pub fn record(&self, record: &mut Record) {
         for event in &mut record.events {
             if let Event::Query(query) = event {
                 query.key = query.key.map(|key| self.key(key));
             }
         }
-        for named in &mut record.query_names {
-            named.idempotency = named.idempotency.take().map(|word| self.word(&word));
+        for names in &mut record.query_names {
+            names.idempotency = names.idempotency.take().map(|key| self.idempotency_key(&key));
         }
     }
 }
@@ -51,11 +52,14 @@
     use super::*;
 
     #[test]
-    fn the_same_key_gets_the_same_stand_in_and_another_secret_another() {
+    fn pseudonyms_depend_on_key_and_secret_only() {
         let (mask, other) = (Mask::new(b"one"), Mask::new(b"two"));
         assert_eq!(mask.key(5), Mask::new(b"one").key(5));
         assert!(mask.key(5) != mask.key(6) && mask.key(5) != other.key(5) && mask.key(5) != 5);
-        assert_eq!(mask.word("a"), Mask::new(b"one").word("a"));
-        assert!(mask.word("a") != mask.word("b") && mask.word("a") != other.word("a"));
+        assert_eq!(mask.idempotency_key("a"), Mask::new(b"one").idempotency_key("a"));
+        assert!(
+            mask.idempotency_key("a") != mask.idempotency_key("b")
+                && mask.idempotency_key("a") != other.idempotency_key("a")
+        );
     }
 }
--- a/crates/trace/src/wire.rs
+++ b/crates/trace/src/wire.rs
@@ -1,5 +1,6 @@
-//! The messages of `proto/trace.proto`, as Rust types. A test compares the two field by field.
-#![allow(missing_docs)] // Each is described in the `.proto` file.
+//! Rust types of the messages in `proto/trace.proto`, where the fields are described. `tests/proto.rs` checks
+//! that the two agree field by field.
+#![allow(missing_docs)]
 
 use prost::{Message, Oneof};
 
@@ -171,7 +172,6 @@
     pub weight: f64,
     #[prost(uint64, optional, tag = "4")]
     pub query: Option<u64>,
-    /// In nanoseconds.
     #[prost(uint64, optional, tag = "5")]
     pub hint: Option<u64>,
 }
