--- a/crates/trace/benches/write.rs
+++ b/crates/trace/benches/write.rs
@@ -1,6 +1,6 @@
-//! What writing a step costs: the encoder, the compressor and the index together, and reading it again.
+//! Cost of writing steps (encoder, compressor and index together) and of reading them.
 
-#![allow(missing_docs)] // What `criterion_main!` makes has none.
+#![allow(missing_docs)] // `criterion_main!` generates undocumented items.
 
 use std::hint::black_box;
 use std::io::Cursor;
@@ -31,9 +31,9 @@
     group.bench_function("write", |bencher| bencher.iter(|| black_box(file()).len()));
     group.bench_function("read", |bencher| {
         bencher.iter(|| {
-            let mut reader = Reader::open(Cursor::new(&bytes)).expect("sound");
+            let mut reader = Reader::open(Cursor::new(&bytes)).expect("valid");
             let mut count = 0;
-            while let Some(block) = reader.next_block().expect("memory") {
+            while let Some(block) = reader.next_block().expect("reads from memory") {
                 count += black_box(block).len();
             }
             count
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small traces of the project's own traffic, in memory.
+//! Small trace files in memory, with records that use every kind of event and action.
 #![allow(dead_code)]
 
 use std::io::Cursor;
@@ -26,7 +26,7 @@
     (1..=3).map(|n| (ServerId(n), format!("tile0{n}.cardiff.example.org"))).collect()
 }
 
-/// A step with everything that a step may hold, its numbers made from `n`.
+/// A step with every kind of event and action; its values depend on `n`.
 pub fn step(n: u64) -> Record {
     let id = n * 10;
     let part = |i: u64| PartId(id + 1 + i);
@@ -127,17 +127,24 @@
     }
 }
 
-/// A file of blocks of so many steps each, and where each block ends.
-pub fn file(records: &[Record], a_block: usize, close: bool) -> (Vec<u8>, Vec<usize>) {
-    file_of(Header::new(vec![source("n1", 9)], false), records, a_block, close)
+/// Writes a file with blocks of `block_len` records each. Returns its bytes, and the offsets at which the
+/// header and each block end.
+pub fn file(records: &[Record], block_len: usize, close: bool) -> (Vec<u8>, Vec<usize>) {
+    file_with_header(Header::new(vec![source("n1", 9)], false), records, block_len, close)
 }
 
-pub fn file_of(header: Header, records: &[Record], a_block: usize, close: bool) -> (Vec<u8>, Vec<usize>) {
+/// As [`file`], with the given header.
+pub fn file_with_header(
+    header: Header,
+    records: &[Record],
+    block_len: usize,
+    close: bool,
+) -> (Vec<u8>, Vec<usize>) {
     let mut bytes = Vec::new();
     let mut ends = Vec::new();
     let mut writer = Writer::new(&mut bytes, header).expect("written");
     ends.push(writer.size() as usize);
-    for chunk in records.chunks(a_block) {
+    for chunk in records.chunks(block_len) {
         chunk.iter().for_each(|record| writer.add(record, &servers()).expect("written"));
         writer.flush().expect("written");
         ends.push(writer.size() as usize);
@@ -148,11 +155,12 @@
     (bytes, ends)
 }
 
-/// All that a file gives: its records, and how it ends; none where it can't be opened.
+/// Reads a file. Returns its records, the state of its end and the number of damaged ranges, or `None` if it
+/// can't be opened.
 pub fn read(bytes: &[u8]) -> Option<(Vec<Record>, FileEnd, usize)> {
     let mut reader = Reader::open(Cursor::new(bytes)).ok()?;
     let mut records = Vec::new();
-    while let Some(block) = reader.next_block().expect("memory does not fail") {
+    while let Some(block) = reader.next_block().expect("reads from memory") {
         records.extend(block);
     }
     let damage = reader.damage().len();
--- a/crates/trace/tests/damage.rs
+++ b/crates/trace/tests/damage.rs
@@ -1,5 +1,4 @@
-//! Files that were cut short, damaged, or made by others: what is whole is read as it was written, and
-//! nothing else is.
+//! Truncated, damaged and foreign files: intact blocks are read as they were written, and nothing else is.
 
 mod common;
 
@@ -16,105 +15,106 @@
 }
 
 #[test]
-fn a_file_gives_back_what_was_written() {
+fn written_records_are_read_back() {
     let records = steps(40);
     let (bytes, ends) = file(&records, 7, true);
     assert_eq!(read(&bytes), Some((records.clone(), FileEnd::Complete, 0)));
-    // Without a footer too: a broker that was killed between two blocks leaves that.
-    let (open, _) = file(&records, 7, false);
-    assert_eq!(open.len(), *ends.last().expect("some"));
-    assert_eq!(read(&open), Some((records, FileEnd::Unclosed, 0)));
+    // Also without a footer, as left by a broker that was killed between two blocks.
+    let (unclosed, _) = file(&records, 7, false);
+    assert_eq!(unclosed.len(), *ends.last().expect("not empty"));
+    assert_eq!(read(&unclosed), Some((records, FileEnd::Unclosed, 0)));
 }
 
-// A crash may cut a file anywhere: every block that is whole is read, none that is not, and it is said.
+// A crash may truncate a file anywhere: all complete blocks before the cut are read, nothing else is, and the
+// truncation is reported.
 #[test]
-fn a_file_cut_at_every_byte_gives_the_blocks_before_the_cut() {
+fn file_truncated_at_any_byte_yields_the_blocks_before() {
     let records = steps(12);
     let (bytes, ends) = file(&records, 3, true);
     let header = ends[0];
     for cut in 0..bytes.len() {
-        let found = Reader::open(Cursor::new(&bytes[..cut])).map(|_| ());
+        let opened = Reader::open(Cursor::new(&bytes[..cut])).map(|_| ());
         if cut < header {
-            let right = match found {
+            let expected = match opened {
                 Err(OpenError::Empty) => cut == 0,
                 Err(OpenError::Truncated) => cut > 0,
                 _ => false,
             };
-            assert!(right, "cut at {cut}");
+            assert!(expected, "cut at {cut}");
             continue;
         }
-        let whole = ends.iter().rposition(|end| *end <= cut).expect("the header is whole");
-        let expected = &records[..whole * 3];
+        let complete = ends.iter().rposition(|end| *end <= cut).expect("the header is complete");
+        let expected = &records[..complete * 3];
         let (got, end, damage) = read(&bytes[..cut]).expect("opens");
         assert_eq!((got.as_slice(), damage), (expected, 0), "cut at {cut}");
-        let last = ends[whole];
-        let right = match end {
+        let last = ends[complete];
+        let expected_end = match end {
             FileEnd::Unclosed => cut == last,
             FileEnd::Truncated { at, bytes } => at as usize == last && last + bytes as usize == cut,
-            FileEnd::DamagedIndex { at } => whole == 4 && at as usize == last,
+            FileEnd::DamagedIndex { at } => complete == 4 && at as usize == last,
             FileEnd::Complete => false,
         };
-        assert!(right, "cut at {cut}: {end:?}");
+        assert!(expected_end, "cut at {cut}: {end:?}");
     }
 }
 
-/// What a damaged file may give: records as they were written, in their order, or nothing.
-fn is_some_of(got: &[Record], records: &[Record]) -> bool {
+/// Returns whether `got` is a subsequence of `records`, which is all that a damaged file may yield.
+fn is_subsequence(got: &[Record], records: &[Record]) -> bool {
     let mut rest = records.iter();
     got.iter().all(|record| rest.any(|known| known == record))
 }
 
-// Every single bit, and every byte overwritten: never a wrong record, never a panic, and never silence about
-// a block that is missing.
+// Flips every single bit and inverts every byte: the reader must not panic, return a wrong record or fail to
+// report a missing block.
 #[test]
-fn a_flipped_bit_anywhere_never_gives_a_wrong_record() {
+fn flipped_bit_never_yields_a_wrong_record() {
     let records = steps(6);
     let (bytes, ends) = file(&records, 2, true);
-    let last = *ends.last().expect("some");
+    let last = *ends.last().expect("not empty");
     for at in 0..bytes.len() {
         for change in [1_u8, 2, 4, 8, 16, 32, 64, 128, 255] {
-            let mut broken = bytes.clone();
-            broken[at] ^= change;
-            let Some((got, end, damage)) = read(&broken) else {
-                assert!(at < ends[0], "byte {at}: only a header keeps a file shut");
+            let mut damaged = bytes.clone();
+            damaged[at] ^= change;
+            let Some((got, end, damage)) = read(&damaged) else {
+                assert!(at < ends[0], "byte {at}: only damage to the header may prevent opening");
                 continue;
             };
-            assert!(is_some_of(&got, &records), "byte {at} ^ {change}");
+            assert!(is_subsequence(&got, &records), "byte {at} ^ {change}");
             if got.len() < records.len() {
                 assert!(
                     damage > 0 || end != FileEnd::Complete,
-                    "byte {at} ^ {change}: records are gone and nothing is said"
+                    "byte {at} ^ {change}: records are missing without a report"
                 );
-                // One block is lost at the most.
+                // At most one block is lost.
                 assert_eq!(got.len(), records.len() - 2, "byte {at} ^ {change}");
             }
             assert!(
                 at < last || end != FileEnd::Complete,
-                "byte {at} ^ {change}: the index is damaged and nothing is said"
+                "byte {at} ^ {change}: the index is damaged without a report"
             );
-            let mut reader = Reader::open(Cursor::new(&broken)).expect("opened before");
+            let mut reader = Reader::open(Cursor::new(&damaged)).expect("opened before");
             assert!(
-                at < last || reader.index().expect("memory").is_none(),
-                "byte {at}: an index that is wrong"
+                at < last || reader.index().expect("reads from memory").is_none(),
+                "byte {at}: a damaged index is returned"
             );
         }
     }
 }
 
 #[test]
-fn a_damaged_block_is_named_with_its_steps() {
+fn damaged_block_is_reported_with_its_sequence_numbers() {
     let records = steps(9);
     let (mut bytes, ends) = file(&records, 3, true);
     bytes[ends[1] + frame::FRAME_HEADER_LEN + 5] ^= 1;
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("opens");
     let mut got = Vec::new();
-    while let Some(block) = reader.next_block().expect("memory") {
+    while let Some(block) = reader.next_block().expect("reads from memory") {
         got.extend(block.into_iter().map(|record| record.sequence));
     }
     assert_eq!(got, [1, 2, 3, 7, 8, 9]);
     let [damage] = reader.damage() else { panic!("{:?}", reader.damage()) };
     assert_eq!((damage.bytes.clone(), damage.sequences), (ends[1] as u64..ends[2] as u64, Some((4, 6))));
-    // A head that is damaged says nothing, so the next sound one is looked for.
+    // After a damaged frame header, the reader searches for the next intact one.
     let (mut bytes, ends) = file(&records, 3, true);
     bytes[ends[1] + 6] ^= 1;
     assert_eq!(read(&bytes).map(|(got, ..)| got.len()), Some(6));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_newer_minor_version_is_read_and_a_newer_major_one_refused() {
+fn newer_minor_version_is_read_and_newer_major_version_refused() {
     let records = steps(2);
     let (bytes, ends) = file(&records, 2, true);
     let message = bytes[frame::PREAMBLE_LEN..ends[0]].to_vec();
@@ -130,7 +130,7 @@
         let message = [&message[..], extra].concat();
         [&frame::encode_preamble(version, &message)[..], &message, &bytes[ends[0]..ends[1]]].concat()
     };
-    // Field 100, of a kind that this build does not know, is skipped.
+    // The unknown field 100 is skipped.
     let newer = with((frame::FORMAT_VERSION.0, frame::FORMAT_VERSION.1 + 9), &[0xa2, 0x06, 0x02, b'h', b'i']);
     assert_eq!(read(&newer).map(|(got, ..)| got), Some(records));
     let error = Reader::open(Cursor::new(with((2, 3), &[]))).err().expect("refused");
@@ -139,34 +139,34 @@
     assert!(matches!(foreign, Some(OpenError::NotATrace)), "{foreign:?}");
 }
 
-// A length that lies must not make a reader take memory: heads with every length and a right checksum.
+// Guards against allocations by a wrong length: frame headers with extreme lengths and a valid checksum.
 #[test]
-fn lengths_that_lie_take_no_memory() {
+fn wrong_lengths_cause_no_allocation() {
     let (bytes, ends) = file(&steps(2), 2, false);
     for (packed, raw) in [(u32::MAX, 1), (1, u32::MAX), (8 << 20, 32 << 20), (40, 32 << 20), (40, 0)] {
-        let lie = FrameHeader {
+        let wrong = FrameHeader {
             compressed_len: packed,
             uncompressed_len: raw,
             records: u32::MAX,
             ..FrameHeader::default()
         };
-        let file = [&bytes[..ends[1]], &lie.encode(), &[7; 40]].concat();
+        let file = [&bytes[..ends[1]], &wrong.encode(), &[7; 40]].concat();
         let (got, end, damage) = read(&file).expect("opens");
         assert_eq!(got.len(), 2);
         assert!(damage > 0 || end != FileEnd::Unclosed, "{packed} {raw}");
     }
 }
 
-// What a fuzzer found worth keeping: bytes that once led far into the reader. Each must end in peace.
+// Inputs from fuzzing that reached code deep in the reader. None may cause a panic.
 #[test]
-fn the_corpus_ends_in_peace() {
+fn fuzzing_corpus_causes_no_panic() {
     let corpus = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/corpus");
     let mut tried = HashSet::new();
     for entry in std::fs::read_dir(corpus).expect("there") {
         let path = entry.expect("read").path();
         let bytes = std::fs::read(&path).expect("read");
         let _ = read(&bytes);
-        // And behind a sound header, as blocks.
+        // Also as blocks after a valid header.
         let (mut file, _) = file(&[], 1, false);
         file.extend_from_slice(&bytes);
         assert!(read(&file).is_some(), "{}", path.display());
@@ -175,7 +175,7 @@
     assert!(tried.len() >= 8, "{}", tried.len());
 }
 
-fn any_step() -> impl Strategy<Value = Vec<Record>> {
+fn any_steps() -> impl Strategy<Value = Vec<Record>> {
     let one = (1_u64..50, 0_usize..10, 0_usize..9, any::<u64>(), any::<bool>(), 0_u64..20_000_000);
     proptest::collection::vec(one, 0..30).prop_map(|numbers| {
         let mut time = 1_000_000_000;
@@ -207,13 +207,13 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn writer_and_reader_agree(records in any_step(), a_block in 1_usize..9) {
-        let (bytes, _) = file(&records, a_block, true);
+    fn written_records_are_read_back_for_any_steps(records in any_steps(), block_len in 1_usize..9) {
+        let (bytes, _) = file(&records, block_len, true);
         prop_assert_eq!(read(&bytes), Some((records, FileEnd::Complete, 0)));
     }
 
     #[test]
-    fn bytes_overwritten_at_random_never_give_a_wrong_record(
+    fn randomly_overwritten_bytes_never_yield_a_wrong_record(
         at in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..12),
         cut in any::<prop::sample::Index>(),
     ) {
@@ -225,25 +225,25 @@
         }
         bytes.truncate(cut.index(bytes.len()) + 1);
         if let Some((got, ..)) = read(&bytes) {
-            prop_assert!(is_some_of(&got, &records));
+            prop_assert!(is_subsequence(&got, &records));
         }
     }
 
     #[test]
-    fn whatever_it_is_it_ends_in_peace(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn arbitrary_bytes_cause_no_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         let _ = read(&bytes);
         let (mut file, _) = file(&steps(2), 1, false);
         file.extend_from_slice(&bytes);
-        let (got, ..) = read(&file).expect("the header is sound");
+        let (got, ..) = read(&file).expect("the header is valid");
         prop_assert_eq!(got, steps(2));
     }
 }
 
 #[test]
-fn servers_are_named_in_every_block() {
+fn every_block_has_the_server_names() {
     let (bytes, ends) = file(&steps(4), 2, true);
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("opens");
-    reader.block_at(ends[1] as u64).expect("memory");
+    reader.block_at(ends[1] as u64).expect("reads from memory");
     assert_eq!(reader.servers(), &servers());
     assert_ne!(reader.servers(), &ServerNames::new());
 }
--- a/crates/trace/tests/proto.rs
+++ b/crates/trace/tests/proto.rs
@@ -1,5 +1,5 @@
-//! The `.proto` file and the Rust types say the same: what the types write, a reader made from the file alone
-//! reads without anything left over, and writes back byte for byte.
+//! Checks that the `.proto` file and the Rust types agree: a reader built from the file alone decodes what
+//! the types encode without unknown fields, and encodes it to the same bytes.
 
 mod common;
 
@@ -9,22 +9,22 @@
 use prost::Message;
 use prost_reflect::{DescriptorPool, DynamicMessage, Kind, ReflectMessage, Value};
 
-fn pool() -> DescriptorPool {
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/proto");
-    let set = protox::compile(["trace.proto"], [folder]).expect("the .proto file is sound");
-    DescriptorPool::from_file_descriptor_set(set).expect("sound")
+fn descriptor_pool() -> DescriptorPool {
+    let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/proto");
+    let set = protox::compile(["trace.proto"], [directory]).expect("the .proto file compiles");
+    DescriptorPool::from_file_descriptor_set(set).expect("valid descriptors")
 }
 
-/// Checks that nothing is left over in a message, and notes which fields were met.
-fn walk(message: &DynamicMessage, met: &mut std::collections::BTreeSet<String>) {
+/// Asserts that a message has no unknown fields, and adds the names of its fields to `seen`.
+fn check_fields(message: &DynamicMessage, seen: &mut std::collections::BTreeSet<String>) {
     assert_eq!(message.unknown_fields().count(), 0, "{}", message.descriptor().full_name());
     for (field, value) in message.fields() {
-        met.insert(field.full_name().to_owned());
+        seen.insert(field.full_name().to_owned());
         match value {
-            Value::Message(inner) => walk(inner, met),
+            Value::Message(inner) => check_fields(inner, seen),
             Value::List(list) => list.iter().for_each(|value| {
                 if let Value::Message(inner) = value {
-                    walk(inner, met);
+                    check_fields(inner, seen);
                 }
             }),
             _ => {}
@@ -33,15 +33,15 @@
 }
 
 #[test]
-fn both_say_the_same() {
-    let pool = pool();
+fn proto_file_and_rust_types_agree() {
+    let pool = descriptor_pool();
     let mut encoder = Encoder::default();
     for n in 1..=20 {
         encoder.add(&step(n), &servers());
     }
-    // What an ordinary step leaves out.
-    let mut odd = step(7);
-    odd.events = vec![
+    // Fields that the steps of `step` leave out.
+    let mut uncommon = step(7);
+    uncommon.events = vec![
         badgergauge_core::Event::Part(badgergauge_core::Part {
             id: badgergauge_core::PartId(9),
             query: badgergauge_core::QueryNumber(3),
@@ -70,23 +70,23 @@
             },
         },
     ];
-    odd.source = 1;
-    odd.actions.push(badgergauge_core::Action::Cancel {
+    uncommon.source = 1;
+    uncommon.actions.push(badgergauge_core::Action::Cancel {
         part: badgergauge_core::PartId(9),
         attempt: 2,
         why: badgergauge_core::Withdrawn::Over,
     });
-    odd.actions.push(badgergauge_core::Action::Answer {
+    uncommon.actions.push(badgergauge_core::Action::Answer {
         query: badgergauge_core::QueryId(5),
         whole: true,
         why: badgergauge_core::Ending { cause: badgergauge_core::Cause::Whole, missing: vec![] },
     });
-    for action in &mut odd.actions {
+    for action in &mut uncommon.actions {
         if let badgergauge_core::Action::Send { server, .. } = action {
             *server = badgergauge_core::ServerId(3);
         }
     }
-    encoder.add(&odd, &servers());
+    encoder.add(&uncommon, &servers());
     let source = wire::Source {
         broker: "n".into(),
         run: 1,
@@ -111,22 +111,22 @@
         queries: vec![9],
     };
     let footer = wire::Footer { header: Some(header.clone()), blocks: vec![entry] };
-    let written = [
+    let encoded = [
         ("Header", header.encode_to_vec()),
         ("Block", encoder.take().encode_to_vec()),
         ("Footer", footer.encode_to_vec()),
     ];
-    let mut met = std::collections::BTreeSet::new();
-    for (name, bytes) in written {
+    let mut seen = std::collections::BTreeSet::new();
+    for (name, bytes) in encoded {
         let kind = pool.get_message_by_name(&format!("badgergauge.trace.v1.{name}")).expect("there");
-        let message = DynamicMessage::decode(kind, &bytes[..]).expect("read by the .proto file");
-        walk(&message, &mut met);
+        let message = DynamicMessage::decode(kind, &bytes[..]).expect("decodes");
+        check_fields(&message, &mut seen);
         assert_eq!(message.encode_to_vec(), bytes, "{name}");
     }
-    // And every field that the file describes was among what was written.
+    // Every field of the `.proto` file must have been encoded.
     for kind in pool.all_messages() {
         for field in kind.fields() {
-            assert!(met.contains(field.full_name()), "{} is never written", field.full_name());
+            assert!(seen.contains(field.full_name()), "{} is never encoded", field.full_name());
             assert!(!matches!(field.kind(), Kind::Message(of) if of.full_name().is_empty()));
         }
     }
--- a/crates/trace/tests/recorder.rs
+++ b/crates/trace/tests/recorder.rs
@@ -91,7 +91,7 @@
         let (mut steps, mut missing, mut reasons) = (Vec::new(), Vec::new(), String::new());
         for bytes in state.files.values() {
             let Ok(mut reader) = Reader::open(Cursor::new(bytes)) else { continue };
-            while let Some(block) = reader.next_block().expect("memory") {
+            while let Some(block) = reader.next_block().expect("reads from memory") {
                 for record in block {
                     if let Some(gap) = &record.gap {
                         missing.extend(gap.first..=gap.last);
@@ -188,7 +188,7 @@
         assert!(recorder.close());
         let (steps, missing, reasons) = storage.contents();
         assert!(reasons.contains("disk: "), "{reasons}");
-        let end = steps.iter().chain(&missing).max().copied().expect("some");
+        let end = steps.iter().chain(&missing).max().copied().expect("not empty");
         assert!(end >= last);
         assert_accounted(&steps, &missing, end);
     }
@@ -204,7 +204,7 @@
     assert!(recorder.close());
     let (steps, missing, reasons) = storage.contents();
     assert!(reasons.contains("disk: "), "{reasons}");
-    assert_accounted(&steps, &missing, steps.iter().chain(&missing).max().copied().expect("some"));
+    assert_accounted(&steps, &missing, steps.iter().chain(&missing).max().copied().expect("not empty"));
 }
 
 #[test]
