--- a/crates/synth/src/world.rs
+++ b/crates/synth/src/world.rs
@@ -8,7 +8,7 @@
 use badgergauge_core::core::{Command, Core, Final, Member, NewPart, NewQuery, Ticket};
 use badgergauge_core::settings::SiteSettings;
 use badgergauge_core::{QueryId, ServerId, ServerState, Time, TimerId, Verdict};
-use badgergauge_trace::record::{ServerNames, Source, from_observed};
+use badgergauge_trace::record::{ServerNames, Source, from_step_record};
 use badgergauge_trace::rotation::file_name;
 use badgergauge_trace::{Header, Writer};
 use rand::{Rng, SeedableRng};
@@ -458,7 +458,7 @@
         broker.last_step = now;
         broker.core.step(Time(now), &mut commands);
         if let Some(observed) = broker.core.observed() {
-            let (record, names) = from_observed(observed);
+            let (record, names) = from_step_record(observed);
             broker.servers.extend(names);
             if let Some(writer) = &mut broker.writer {
                 writer.add(&record, &broker.servers)?;
--- a/crates/synth/tests/tools.rs
+++ b/crates/synth/tests/tools.rs
@@ -164,7 +164,7 @@
             _ => None,
         });
         for (query, named) in queries.zip(&record.query_names) {
-            let Some(key) = &named.idempotency else { continue };
+            let Some(key) = &named.idempotency_key else { continue };
             if query.repeated {
                 repeats += 1;
                 assert!(
@@ -259,7 +259,7 @@
                         keys.insert(key, mask.key(key));
                     }
                 }
-                for word in record.query_names.iter().filter_map(|named| named.idempotency.as_deref()) {
+                for word in record.query_names.iter().filter_map(|named| named.idempotency_key.as_deref()) {
                     words.extend(
                         word.as_bytes().chunks_exact(8).filter_map(|c| c.first_chunk::<8>().copied()),
                     );
@@ -315,7 +315,7 @@
     let (mut merged, mut tries) = (open(&[folder.at("t")]), BTreeMap::<String, Vec<(u32, String)>>::new());
     while let Some(record) = merged.next_record().expect("read") {
         for named in record.query_names {
-            if let Some(key) = named.idempotency {
+            if let Some(key) = named.idempotency_key {
                 tries.entry(key).or_default().push((record.source, named.name));
             }
         }
--- a/crates/trace/src/align.rs
+++ b/crates/trace/src/align.rs
@@ -67,7 +67,7 @@
         // Whole lists come when a broker connects, each at a time of its own: changes alone come to all at once.
         let lists =
             record.events.iter().filter(|e| matches!(e, Event::Servers(_) | Event::ServersChanged(_)));
-        for (event, version) in lists.zip(&record.versions) {
+        for (event, version) in lists.zip(&record.list_versions) {
             if matches!(event, Event::ServersChanged(_)) {
                 self.versions[source].entry(*version).or_insert(unix);
             }
@@ -77,7 +77,7 @@
             _ => None,
         });
         for ((query, repeated), named) in repeats.zip(&record.query_names) {
-            let Some(key) = named.idempotency.clone() else { continue };
+            let Some(key) = named.idempotency_key.clone() else { continue };
             if repeated {
                 if let Some(cause) = self.ended.get(&key).copied().filter(|cause| cause.0 != source) {
                     self.repeats.push(Repeat { cause, effect: (source, unix) });
--- a/crates/trace/src/codec.rs
+++ b/crates/trace/src/codec.rs
@@ -8,7 +8,7 @@
     QueryNumber, ServerId, ServerState, ShardId, Time, TimerId, Verdict, Withdrawn,
 };
 
-use crate::record::{Gap, NotTaken, NotTakenReason, QueryNames, Record, ServerNames, server_name};
+use crate::record::{Gap, NotAccepted, NotAcceptedReason, QueryNames, Record, ServerNames, server_name};
 use crate::wire::{self, action, event};
 
 // The tables below give the values of each enum by their code in the file: the order is part of the format.
@@ -92,7 +92,7 @@
             source: record.source,
             sequence: record.sequence.wrapping_sub(std::mem::replace(sequence, record.sequence)),
             time: time.wrapping_sub(std::mem::replace(&mut self.time, time)),
-            versions: record.versions.clone(),
+            versions: record.list_versions.clone(),
             note: record.note.clone(),
             gap: record.gap.as_ref().map(|gap| wire::Gap {
                 first_before: record.sequence.saturating_sub(gap.first),
@@ -101,11 +101,11 @@
             }),
             ..wire::Step::default()
         };
-        let not_taken = |n: &NotTaken| wire::NotTaken {
+        let not_accepted = |n: &NotAccepted| wire::NotTaken {
             class: n.class as u32,
-            why: u32::from(n.reason == NotTakenReason::NameInUse),
+            why: u32::from(n.reason == NotAcceptedReason::NameInUse),
         };
-        step.not_taken = record.not_taken.iter().map(not_taken).collect();
+        step.not_taken = record.not_accepted.iter().map(not_accepted).collect();
         let mut query_names = record.query_names.iter();
         let mut last_query = None;
         step.events.reserve_exact(record.events.len());
@@ -161,7 +161,9 @@
                     repeated_try: query.repeated,
                     left: nanos(query.left),
                     name: names.map(|names| names.name.clone()).unwrap_or_default(),
-                    idempotency_key: names.and_then(|names| names.idempotency.clone()).unwrap_or_default(),
+                    idempotency_key: names
+                        .and_then(|names| names.idempotency_key.clone())
+                        .unwrap_or_default(),
                     number: (query.number.0 != query.id.0).then_some(query.number.0),
                 })
             }
@@ -307,7 +309,7 @@
             source: step.source,
             sequence: *sequence,
             time: Time(u64::try_from(time).map_err(|_| DecodeError("time before the zero of the clock"))?),
-            versions: step.versions,
+            list_versions: step.versions,
             note: step.note,
             gap: step.gap.map(|gap| Gap {
                 first: sequence.saturating_sub(gap.first_before),
@@ -319,13 +321,13 @@
             ..Record::default()
         };
         decoder.last_query = None;
-        for not in step.not_taken {
+        for not_accepted in step.not_taken {
             let reason = from_code(
-                &[NotTakenReason::Full, NotTakenReason::NameInUse],
-                not.why,
-                "unknown reason for a query not taken",
+                &[NotAcceptedReason::AtCapacity, NotAcceptedReason::NameInUse],
+                not_accepted.why,
+                "unknown reason for a query not accepted",
             )?;
-            record.not_taken.push(NotTaken { class: not.class as usize, reason });
+            record.not_accepted.push(NotAccepted { class: not_accepted.class as usize, reason });
         }
         // Kinds of events and actions from a newer minor version are skipped, as unknown fields are.
         for kind in step.events.into_iter().filter_map(|event| event.kind) {
@@ -369,8 +371,8 @@
                 let id = self.id(query.id);
                 let number = query.number.unwrap_or(id);
                 self.last_query = Some(number);
-                let idempotency = Some(query.idempotency_key).filter(|key| !key.is_empty());
-                query_names.push(QueryNames { query: QueryId(id), name: query.name, idempotency });
+                let idempotency_key = Some(query.idempotency_key).filter(|key| !key.is_empty());
+                query_names.push(QueryNames { query: QueryId(id), name: query.name, idempotency_key });
                 Event::Query(Query {
                     id: QueryId(id),
                     number: QueryNumber(number),
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -27,5 +27,5 @@
 
 pub use header::Header;
 pub use read::{Damage, FileEnd, Index, OpenError, Reader};
-pub use record::{Gap, NotTaken, NotTakenReason, QueryNames, Record, ServerNames, Source};
+pub use record::{Gap, NotAccepted, NotAcceptedReason, QueryNames, Record, ServerNames, Source};
 pub use write::Writer;
--- a/crates/trace/src/mask.rs
+++ b/crates/trace/src/mask.rs
@@ -42,7 +42,7 @@
             }
         }
         for names in &mut record.query_names {
-            names.idempotency = names.idempotency.take().map(|key| self.idempotency_key(&key));
+            names.idempotency_key = names.idempotency_key.take().map(|key| self.idempotency_key(&key));
         }
     }
 }
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -68,25 +68,25 @@
     /// Its external name.
     pub name: String,
     /// Its idempotency key, if its class is keyed.
-    pub idempotency: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
-/// Why a query was not taken.
+/// Why a query was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTakenReason {
+pub enum NotAcceptedReason {
     /// The limit of open queries was reached.
-    Full,
+    AtCapacity,
     /// A query of the same name was open.
     NameInUse,
 }
 
-/// A query that the broker did not take; the decision module never received it.
+/// A query that the broker did not accept; the decision module never received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotTaken {
+pub struct NotAccepted {
     /// Index of its class.
     pub class: usize,
-    /// Why it was not taken.
-    pub reason: NotTakenReason,
+    /// Why it was not accepted.
+    pub reason: NotAcceptedReason,
 }
 
 /// A range of steps that are missing before a record, both ends included.
@@ -117,9 +117,9 @@
     /// Names of the queries among the events, in the same order.
     pub query_names: Vec<QueryNames>,
     /// Versions of the server lists among the events, in the same order.
-    pub versions: Vec<u64>,
-    /// Queries that were not taken since the previous step.
-    pub not_taken: Vec<NotTaken>,
+    pub list_versions: Vec<u64>,
+    /// Queries that were not accepted since the previous step.
+    pub not_accepted: Vec<NotAccepted>,
     /// Steps that are missing before this one.
     pub gap: Option<Gap>,
     /// Note by the broker about itself, for example that it is stopping.
@@ -136,17 +136,17 @@
 
 /// Converts a step observed in the core to a record of the first source, with the server names that it
 /// brought.
-pub fn from_observed(observed: Observed) -> (Record, Vec<(ServerId, String)>) {
+pub fn from_step_record(observed: Observed) -> (Record, Vec<(ServerId, String)>) {
     let query_names = |names: core::Names| QueryNames {
         query: names.query,
         name: names.name.to_string(),
-        idempotency: names.idempotency.map(|key| key.to_string()),
+        idempotency_key: names.idempotency.map(|key| key.to_string()),
     };
-    let not_taken = |(class, reason): (usize, core::NotTaken)| NotTaken {
+    let not_accepted = |(class, reason): (usize, core::NotTaken)| NotAccepted {
         class,
         reason: match reason {
-            core::NotTaken::Full { .. } => NotTakenReason::Full,
-            core::NotTaken::NameInUse => NotTakenReason::NameInUse,
+            core::NotTaken::Full { .. } => NotAcceptedReason::AtCapacity,
+            core::NotTaken::NameInUse => NotAcceptedReason::NameInUse,
         },
     };
     let record = Record {
@@ -156,8 +156,8 @@
         events: observed.events,
         actions: observed.actions,
         query_names: observed.named.into_iter().map(query_names).collect(),
-        versions: observed.versions,
-        not_taken: observed.not_taken.into_iter().map(not_taken).collect(),
+        list_versions: observed.versions,
+        not_accepted: observed.not_taken.into_iter().map(not_accepted).collect(),
         gap: None,
         note: observed.note,
     };
--- a/crates/trace/src/sample.rs
+++ b/crates/trace/src/sample.rs
@@ -47,7 +47,7 @@
         record.actions.retain(|action| !matches!(action, badgergauge_core::Action::SetTimer { .. }));
         !(record.events.is_empty()
             && record.actions.is_empty()
-            && record.not_taken.is_empty()
+            && record.not_accepted.is_empty()
             && record.note.is_empty()
             && record.gap.is_none())
     }
--- a/crates/trace/src/story.rs
+++ b/crates/trace/src/story.rs
@@ -8,7 +8,7 @@
 };
 use serde_json::{Value, json};
 
-use crate::record::{NotTakenReason, Record, ServerNames, Source, server_name};
+use crate::record::{NotAcceptedReason, Record, ServerNames, Source, server_name};
 use crate::track::{Tracker, query_of_action, query_of_event};
 
 /// A line of a story.
@@ -192,11 +192,11 @@
         if !record.note.is_empty() {
             plain(record.note.clone(), json!({"kind": "note", "text": record.note}), vec![]);
         }
-        for not in &record.not_taken {
+        for not in &record.not_accepted {
             let class = source.class_name(not.class);
             let why = match not.reason {
-                NotTakenReason::Full => "as many are open as may be",
-                NotTakenReason::NameInUse => "one of its name is open",
+                NotAcceptedReason::AtCapacity => "as many are open as may be",
+                NotAcceptedReason::NameInUse => "one of its name is open",
             };
             plain(
                 format!("a {class} is not taken: {why}"),
@@ -205,7 +205,7 @@
             );
         }
         let mut named = record.query_names.iter();
-        let mut versions = record.versions.iter();
+        let mut versions = record.list_versions.iter();
         for event in &record.events {
             let (text, json, about) = self.event(event, &mut named, &mut versions, source, servers);
             let query = query_of_event(&self.tracker, event);
@@ -254,7 +254,7 @@
             Event::Query(query) => {
                 let names = named.next();
                 let name = names.map_or("", |named| named.name.as_str());
-                let idempotency = names.and_then(|named| named.idempotency.as_deref());
+                let idempotency = names.and_then(|named| named.idempotency_key.as_deref());
                 let class = source.class_name(query.class);
                 let key = query.key.map(|key| format!("{key:016x}"));
                 let again = if query.repeated { ", a repeat" } else { "" };
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -176,7 +176,7 @@
     pub fn add(&mut self, record: &Record, source: &Source) {
         self.steps += 1;
         self.missing += record.gap.as_ref().map_or(0, |gap| gap.last - gap.first + 1);
-        for not in &record.not_taken {
+        for not in &record.not_accepted {
             self.class(source.class_name(not.class)).row.not_taken += 1;
         }
         for event in &record.events {
--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -307,7 +307,7 @@
                 &mut |reader, record| {
                     let source = &reader.sources[record.source as usize];
                     for named in &record.query_names {
-                        let key = named.idempotency.as_ref();
+                        let key = named.idempotency_key.as_ref();
                         if wanted.contains(&named.name) || key.is_some_and(|key| wanted.contains(key)) {
                             let of = tries.entry((source.broker.clone(), source.run)).or_default();
                             if !of.contains(&named.query) {
--- a/crates/trace/src/write.rs
+++ b/crates/trace/src/write.rs
@@ -125,7 +125,7 @@
         }
         for names in &record.query_names {
             summary.names.insert(name_hash(&names.name));
-            summary.names.extend(names.idempotency.as_deref().map(name_hash));
+            summary.names.extend(names.idempotency_key.as_deref().map(name_hash));
         }
         let queries = record.actions.iter().filter_map(|action| query_of_action(tracker, action));
         summary.queries.extend(queries.map(|query| query.0));
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use badgergauge_core::*;
-use badgergauge_trace::record::{NotTaken, NotTakenReason, QueryNames};
+use badgergauge_trace::record::{NotAccepted, NotAcceptedReason, QueryNames};
 use badgergauge_trace::{FileEnd, Gap, Header, Reader, Record, ServerNames, Source, Writer};
 
 pub fn source(broker: &str, run: u64) -> Source {
@@ -114,10 +114,10 @@
         query_names: vec![QueryNames {
             query: QueryId(id),
             name: format!("{:016x}", n * 77),
-            idempotency: (n % 2 == 1).then(|| format!("{n:032x}")),
+            idempotency_key: (n % 2 == 1).then(|| format!("{n:032x}")),
         }],
-        versions: vec![n, n + 1],
-        not_taken: vec![NotTaken { class: 1, reason: NotTakenReason::NameInUse }],
+        list_versions: vec![n, n + 1],
+        not_accepted: vec![NotAccepted { class: 1, reason: NotAcceptedReason::NameInUse }],
         gap: n.is_multiple_of(4).then(|| Gap {
             first: n - 2,
             last: n - 1,
--- a/src/record.rs
+++ b/src/record.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use badgergauge_trace::record::from_observed;
+use badgergauge_trace::record::from_step_record;
 use badgergauge_trace::recorder::{Directory, Recorder, RecorderOptions};
 use badgergauge_trace::rotation::Limits;
 use badgergauge_trace::{Record, Source};
@@ -60,7 +60,7 @@
     /// Hands over what the core's last step was about.
     pub fn take(&mut self, core: &mut Core) {
         let Some(observed) = core.observed() else { return };
-        let (record, names) = from_observed(observed);
+        let (record, names) = from_step_record(observed);
         self.last = record.sequence;
         self.recorder.offer(record, names);
     }
