--- a/crates/trace/src/read.rs
+++ b/crates/trace/src/read.rs
@@ -109,7 +109,7 @@
 impl fmt::Display for FileEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FileEnd::Complete => f.write_str("complete"),
+            FileEnd::Complete => f.write_str("whole"),
             FileEnd::Unclosed => f.write_str("not closed: it has no index, and all its blocks are complete"),
             FileEnd::Truncated { at, bytes } => {
                 write!(
--- a/crates/trace/src/rotation.rs
+++ b/crates/trace/src/rotation.rs
@@ -196,13 +196,13 @@
     /// and forgets them.
     pub fn take_surplus(&mut self) -> Vec<String> {
         let room = self.limits.total_bytes.saturating_sub(self.limits.file_bytes);
-        let mut held: u64 = self.closed.iter().map(|(_, size)| size).sum();
+        let mut total_size: u64 = self.closed.iter().map(|(_, size)| size).sum();
         let mut surplus = Vec::new();
         for (name, size) in &self.closed {
-            if held <= room {
+            if total_size <= room {
                 break;
             }
-            held -= size;
+            total_size -= size;
             surplus.push(name.clone());
         }
         self.closed.drain(..surplus.len());
