--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -11,8 +11,8 @@
 use crate::header::Header;
 use crate::mask::Mask;
 use crate::merge::{MergeError, Merged, Notice, open};
-use crate::read::{End, Reader};
-use crate::record::{Record, Servers, Source};
+use crate::read::{FileEnd, Reader};
+use crate::record::{Record, ServerNames, Source};
 use crate::replay::{Difference, Replay, Unverifiable};
 use crate::story::{Line, Teller};
 use crate::track::{query_of_action, query_of_event};
@@ -159,7 +159,7 @@
     let mut sightings = Sightings::new(merged.header().sources.len());
     each_record(&mut merged, progress, |merged, record| {
         let source = record.source as usize;
-        sightings.see(source, merged.header().sources[source].unix(record.time), &record);
+        sightings.see(source, merged.header().sources[source].unix_nanos(record.time), &record);
         Ok(())
     })?;
     let offsets = sightings.offsets();
@@ -173,7 +173,7 @@
 /// # Errors
 ///
 /// When it can't be read or written; then there is no file.
-pub fn copy(from: &Path, to: &Path, mask: Option<&Mask>) -> Result<(Written, End), ToolError> {
+pub fn copy(from: &Path, to: &Path, mask: Option<&Mask>) -> Result<(Written, FileEnd), ToolError> {
     let mut reader = open(from)?;
     if mask.is_some() && reader.header().masked {
         return Err(ToolError::Unfit(format!("{}: is masked already", from.display())));
@@ -195,8 +195,8 @@
         }
     }
     let notice = |what: String| Notice { path: from.to_owned(), what };
-    written.notices = reader.faults().into_iter().map(notice).collect();
-    let end = reader.end().unwrap_or(End::Open);
+    written.notices = reader.problems().into_iter().map(notice).collect();
+    let end = reader.end().unwrap_or(FileEnd::Unclosed);
     output.done(writer.finish().map_err(lost)?)?;
     Ok((written, end))
 }
@@ -223,7 +223,7 @@
     mut merged: Merged,
     reasons: bool,
     progress: Progress,
-) -> Result<(Vec<Verified>, Vec<Notice>, Servers), ToolError> {
+) -> Result<(Vec<Verified>, Vec<Notice>, ServerNames), ToolError> {
     let header = merged.header().clone();
     let mut runs: Vec<(Verified, Option<Replay>)> = Vec::new();
     for source in &header.sources {
@@ -306,8 +306,8 @@
                 &mut notices,
                 &mut |reader, record| {
                     let source = &reader.sources[record.source as usize];
-                    for named in &record.named {
-                        let key = named.idempotency.as_ref();
+                    for named in &record.query_names {
+                        let key = named.idempotency_key.as_ref();
                         if wanted.contains(&named.name) || key.is_some_and(|key| wanted.contains(key)) {
                             let of = tries.entry((source.broker.clone(), source.run)).or_default();
                             if !of.contains(&named.query) {
@@ -345,7 +345,7 @@
                 if !touched {
                     return;
                 }
-                let unix = source.unix(record.time);
+                let unix = source.unix_nanos(record.time);
                 for (index, line) in teller.lines(record, source, reader.servers).into_iter().enumerate() {
                     if line.query.as_ref().is_some_and(about) {
                         let at = (unix, source.broker.clone(), source.run, record.sequence, index);
@@ -375,7 +375,7 @@
 /// What a record's numbers refer to.
 struct Context<'a> {
     sources: &'a [Source],
-    servers: &'a Servers,
+    servers: &'a ServerNames,
 }
 
 fn each_block(
@@ -397,8 +397,8 @@
     };
     if let Some(index) = index {
         let mut offsets: Vec<u64> = match pick {
-            Pick::Named(names) => names.iter().flat_map(|name| index.named(name)).collect(),
-            Pick::About(ids) => ids.iter().flat_map(|id| index.about(*id)).collect(),
+            Pick::Named(names) => names.iter().flat_map(|name| index.blocks_with_name(name)).collect(),
+            Pick::About(ids) => ids.iter().flat_map(|id| index.blocks_with_query(*id)).collect(),
         };
         offsets.sort_unstable();
         offsets.dedup();
@@ -412,7 +412,7 @@
         }
         effort.scanned += 1;
     }
-    for what in reader.faults() {
+    for what in reader.problems() {
         let notice = Notice { path: path.to_owned(), what };
         if !notices.contains(&notice) {
             notices.push(notice);
