--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -267,7 +267,7 @@
         if let Some(gap) = record.gap.take() {
             self.keeper.lose(gap.first, gap.last, &gap.why);
         }
-        if !self.sampler.thin(&mut record) {
+        if !self.sampler.apply(&mut record) {
             return;
         }
         let size = self.file.as_ref().map_or(0, |(_, writer)| writer.size());
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -6,7 +6,7 @@
 use badgergauge_core::{Action, Choice, Ending, Event, Router, ServerId, Time};
 
 use crate::record::{Record, Source};
-use crate::track::{Tracker, query_of_action};
+use crate::track::{QueryTracker, query_of_action};
 
 /// Why a run can't be replayed, or not from here on.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -58,7 +58,7 @@
 pub struct Replay {
     router: Router,
     next: u64,
-    tracker: Tracker,
+    tracker: QueryTracker,
     names: std::collections::BTreeMap<u64, String>,
     actions: Vec<Action>,
     decisions: u64,
@@ -87,7 +87,7 @@
         Ok(Replay {
             router,
             next: 1,
-            tracker: Tracker::default(),
+            tracker: QueryTracker::default(),
             names: std::collections::BTreeMap::new(),
             actions: Vec::new(),
             decisions: 0,
@@ -110,7 +110,7 @@
         }
         self.next += 1;
         for event in &record.events {
-            self.tracker.see(record.time, event);
+            self.tracker.observe(record.time, event);
             if let Event::ClientGone(query) = event {
                 self.names.remove(&query.0);
             }
--- a/crates/trace/src/sample.rs
+++ b/crates/trace/src/sample.rs
@@ -3,19 +3,19 @@
 use badgergauge_core::{Event, QueryId};
 
 use crate::record::Record;
-use crate::track::{Tracker, query_of_action, query_of_event};
+use crate::track::{QueryTracker, query_of_action, query_of_event};
 
 /// Leaves out what is about queries that are not in the sample.
 #[derive(Clone, Debug)]
 pub struct Sampler {
     shares: Vec<f64>,
-    tracker: Tracker,
+    tracker: QueryTracker,
 }
 
 impl Sampler {
     /// With the share of each class's queries that is kept.
     pub fn new(shares: Vec<f64>) -> Self {
-        Sampler { shares, tracker: Tracker::default() }
+        Sampler { shares, tracker: QueryTracker::default() }
     }
 
     /// Whether nothing is left out.
@@ -32,11 +32,11 @@
     }
 
     /// Leaves out of a record what is not in the sample. Gives whether anything is left.
-    pub fn thin(&mut self, record: &mut Record) -> bool {
+    pub fn apply(&mut self, record: &mut Record) -> bool {
         if self.keeps_all() {
             return true;
         }
-        record.events.iter().for_each(|event| self.tracker.see(record.time, event));
+        record.events.iter().for_each(|event| self.tracker.observe(record.time, event));
         let event =
             |event: &Event| query_of_event(&self.tracker, event).is_none_or(|query| self.keeps(query));
         record.events.retain(event);
@@ -88,7 +88,7 @@
         let mut kept = [0, 0];
         for number in 0..4000 {
             let mut record = step(1 + number * 10, (number % 2) as usize);
-            if sampler.thin(&mut record) {
+            if sampler.apply(&mut record) {
                 assert_eq!((record.events.len(), record.actions.len()), (2, 1));
                 kept[(number % 2) as usize] += 1;
             }
@@ -105,7 +105,7 @@
             load: LoadReport::default(),
         };
         late.events.extend((0..2000).map(|n| outcome(2 + n * 20)));
-        assert!(sampler.thin(&mut late));
+        assert!(sampler.apply(&mut late));
         assert_eq!(late.events.len(), kept[0]);
     }
 }
--- a/crates/trace/src/story.rs
+++ b/crates/trace/src/story.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 use crate::record::{Record, Servers, Source, Why, server_name};
-use crate::track::{Tracker, query_of_action, query_of_event};
+use crate::track::{QueryTracker, query_of_action, query_of_event};
 
 /// A line of a story.
 #[derive(Clone, Debug, PartialEq)]
@@ -156,18 +156,18 @@
 /// Tells records of one run; it must see all of them, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Teller {
-    tracker: Tracker,
+    tracker: QueryTracker,
 }
 
 impl Teller {
     /// What is known of open queries.
-    pub fn tracker(&self) -> &Tracker {
+    pub fn tracker(&self) -> &QueryTracker {
         &self.tracker
     }
 
     /// Takes note of a record, which must come before its lines.
     pub fn see(&mut self, record: &Record) {
-        record.events.iter().for_each(|event| self.tracker.see(record.time, event));
+        record.events.iter().for_each(|event| self.tracker.observe(record.time, event));
     }
 
     /// Takes note of a record and gives its lines.
@@ -233,7 +233,7 @@
 
     /// A part in words and in JSON: its query's number and its tile block.
     fn part(&self, part: PartId) -> (String, Value) {
-        match (self.tracker.of_part(part), self.tracker.shard(part)) {
+        match (self.tracker.query_of_part(part), self.tracker.shard_of_part(part)) {
             (Some(tracked), Some(shard)) => (
                 format!("query {} block {shard}", tracked.query.0),
                 json!({"query": tracked.query.0, "block": shard}),
@@ -339,7 +339,7 @@
         let mut missing = Vec::new();
         for (part, why) in &why.missing {
             let block =
-                self.tracker.shard(*part).map_or_else(|| part.0.to_string(), |block| block.to_string());
+                self.tracker.shard_of_part(*part).map_or_else(|| part.0.to_string(), |block| block.to_string());
             text.push_str(&format!("; block {block}: {}", missing_says(*why)));
             missing.push(json!({"block": block, "why": missing_word(*why)}));
             if !reasons.contains(&missing_word(*why)) {
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::record::{Record, Servers, Source, server_name};
-use crate::track::Tracker;
+use crate::track::QueryTracker;
 
 /// Longest time that is told apart, in microseconds.
 const LONGEST: u64 = 120_000_000;
@@ -114,7 +114,7 @@
 
 struct Run {
     classes: Vec<Class>,
-    tracker: Tracker,
+    tracker: QueryTracker,
     open: HashMap<QueryId, Open>,
     sent: HashMap<(PartId, u32), ServerId>,
     attempts: HashMap<PartId, u32>,
@@ -157,7 +157,7 @@
             let settings = json.and_then(|json| SiteSettings::read(&json).ok());
             Run {
                 classes: settings.map(|settings| settings.module.classes).unwrap_or_default(),
-                tracker: Tracker::default(),
+                tracker: QueryTracker::default(),
                 open: HashMap::new(),
                 sent: HashMap::new(),
                 attempts: HashMap::new(),
@@ -219,7 +219,7 @@
 
     fn event(&mut self, record: &Record, source: &Source, event: &Event) {
         let run = &mut self.runs[record.source as usize];
-        run.tracker.see(record.time, event);
+        run.tracker.observe(record.time, event);
         match event {
             Event::Query(query) => {
                 let class = run.classes.get(query.class);
@@ -239,7 +239,7 @@
                 }
             }
             Event::Part(part) => {
-                let query = run.tracker.of_part(part.id).map(|tracked| tracked.query);
+                let query = run.tracker.query_of_part(part.id).map(|tracked| tracked.query);
                 if let Some(open) = query.and_then(|query| run.open.get_mut(&query)) {
                     open.weights.push(part.weight);
                     open.served.push(false);
@@ -249,7 +249,7 @@
             }
             Event::Outcome { part, attempt, verdict, took, .. } => {
                 let server = run.sent.remove(&(*part, *attempt));
-                let query = run.tracker.of_part(*part).map(|tracked| tracked.query);
+                let query = run.tracker.query_of_part(*part).map(|tracked| tracked.query);
                 if let (Verdict::Served, Some(query)) = (verdict, query)
                     && let Some(open) = run.open.get_mut(&query)
                     && let Some(served) = open.served.get_mut((part.0 - query.0 - 1) as usize)
@@ -286,7 +286,7 @@
         let run = &mut self.runs[record.source as usize];
         match action {
             Action::Send { part, server, .. } => {
-                let class = run.tracker.of_part(*part).map(|tracked| tracked.class);
+                let class = run.tracker.query_of_part(*part).map(|tracked| tracked.class);
                 let attempt = run.attempts.entry(*part).or_default();
                 run.sent.insert((*part, *attempt), *server);
                 *attempt += 1;
--- a/crates/trace/src/track.rs
+++ b/crates/trace/src/track.rs
@@ -13,7 +13,7 @@
 
 /// What is known of a query.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Tracked {
+pub struct TrackedQuery {
     /// Its id.
     pub query: QueryId,
     /// Its class.
@@ -26,22 +26,22 @@
 
 /// The queries of one run that something may still be heard of.
 #[derive(Clone, Debug, Default)]
-pub struct Tracker {
-    queries: BTreeMap<u64, Tracked>,
+pub struct QueryTracker {
+    queries: BTreeMap<u64, TrackedQuery>,
     /// When each may be forgotten, in the order taken.
     until: VecDeque<(Time, u64)>,
 }
 
-impl Tracker {
+impl QueryTracker {
     /// Takes note of a query or a part.
-    pub fn see(&mut self, now: Time, event: &Event) {
+    pub fn observe(&mut self, now: Time, event: &Event) {
         match event {
             Event::Query(query) => {
                 while self.until.front().is_some_and(|(until, _)| *until < now) || self.until.len() >= MOST {
                     let Some((_, id)) = self.until.pop_front() else { break };
                     self.queries.remove(&id);
                 }
-                let tracked = Tracked { query: query.id, class: query.class, taken: now, shards: Vec::new() };
+                let tracked = TrackedQuery { query: query.id, class: query.class, taken: now, shards: Vec::new() };
                 self.queries.insert(query.id.0, tracked);
                 self.until.push_back((now.after(query.left).after(AFTER), query.id.0));
             }
@@ -57,39 +57,39 @@
     }
 
     /// The query of a part.
-    pub fn of_part(&self, part: PartId) -> Option<&Tracked> {
+    pub fn query_of_part(&self, part: PartId) -> Option<&TrackedQuery> {
         let (id, query) = self.queries.range(..part.0).next_back()?;
         (part.0 <= id + query.shards.len() as u64).then_some(query)
     }
 
     /// A query by its id.
-    pub fn query(&self, id: QueryId) -> Option<&Tracked> {
+    pub fn query(&self, id: QueryId) -> Option<&TrackedQuery> {
         self.queries.get(&id.0)
     }
 
     /// The shard that a part asks.
-    pub fn shard(&self, part: PartId) -> Option<u32> {
-        let query = self.of_part(part)?;
+    pub fn shard_of_part(&self, part: PartId) -> Option<u32> {
+        let query = self.query_of_part(part)?;
         query.shards.get((part.0 - query.query.0 - 1) as usize).copied()
     }
 }
 
 /// The query that an event is about, if it is about one.
-pub fn query_of_event(tracker: &Tracker, event: &Event) -> Option<QueryId> {
+pub fn query_of_event(tracker: &QueryTracker, event: &Event) -> Option<QueryId> {
     match event {
         Event::Query(query) => Some(query.id),
-        Event::Part(part) => tracker.of_part(part.id).map(|q| q.query),
-        Event::Outcome { part, .. } => tracker.of_part(*part).map(|q| q.query),
+        Event::Part(part) => tracker.query_of_part(part.id).map(|q| q.query),
+        Event::Outcome { part, .. } => tracker.query_of_part(*part).map(|q| q.query),
         Event::ClientGone(query) => Some(*query),
         _ => None,
     }
 }
 
 /// The query that an action is about, if it is about one.
-pub fn query_of_action(tracker: &Tracker, action: &badgergauge_core::Action) -> Option<QueryId> {
+pub fn query_of_action(tracker: &QueryTracker, action: &badgergauge_core::Action) -> Option<QueryId> {
     use badgergauge_core::Action;
     match action {
-        Action::Send { part, .. } | Action::Cancel { part, .. } => tracker.of_part(*part).map(|q| q.query),
+        Action::Send { part, .. } | Action::Cancel { part, .. } => tracker.query_of_part(*part).map(|q| q.query),
         Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query, .. } => {
             Some(*query)
         }
--- a/crates/trace/src/write.rs
+++ b/crates/trace/src/write.rs
@@ -10,7 +10,7 @@
 use crate::frame::{self, Frame};
 use crate::header::{Header, to_wire};
 use crate::record::{Record, Servers};
-use crate::track::{Tracker, query_of_action, query_of_event};
+use crate::track::{QueryTracker, query_of_action, query_of_event};
 use crate::wire;
 
 /// A block is closed once it holds about so many bytes.
@@ -44,7 +44,7 @@
     written: u64,
     header: Header,
     encoder: Encoder,
-    trackers: Vec<Tracker>,
+    trackers: Vec<QueryTracker>,
     summed: Summed,
     entries: Vec<wire::Entry>,
     compressor: zstd::bulk::Compressor<'static>,
@@ -67,7 +67,7 @@
             out,
             offset: (frame::HEAD + message.len()) as u64,
             written: 0,
-            trackers: vec![Tracker::default(); header.sources.len()],
+            trackers: vec![QueryTracker::default(); header.sources.len()],
             header,
             encoder: Encoder::default(),
             summed: Summed::default(),
@@ -96,7 +96,7 @@
         let span = summed.spans.entry(record.source).or_insert((record.sequence, record.sequence));
         *span = (span.0.min(record.sequence), span.1.max(record.sequence));
         for event in &record.events {
-            tracker.see(record.time, event);
+            tracker.observe(record.time, event);
             if let Event::Query(query) = event {
                 if summed.taken.len() <= query.class {
                     summed.taken.resize(query.class.min(u8::MAX.into()) + 1, 0);
