--- a/crates/synth/tests/tools.rs
+++ b/crates/synth/tests/tools.rs
@@ -9,7 +9,7 @@
 use badgergauge_core::{Action, Event, Time};
 use badgergauge_synth::{Made, Plan, Trouble, run};
 use badgergauge_trace::mask::Mask;
-use badgergauge_trace::merge::{MergeError, Merged, files};
+use badgergauge_trace::merge::{MergeError, MergedStream, trace_files};
 use badgergauge_trace::replay::Unverifiable;
 use badgergauge_trace::tools::{self, ToolError};
 use badgergauge_trace::{End, Header, Record, Writer};
@@ -58,14 +58,14 @@
     }
 }
 
-fn open(paths: &[PathBuf]) -> Merged {
-    Merged::open(&files(paths).expect("there"), i64::MIN..i64::MAX).expect("sound")
+fn open(paths: &[PathBuf]) -> MergedStream {
+    MergedStream::open(&trace_files(paths).expect("there"), i64::MIN..i64::MAX).expect("sound")
 }
 
 type Key = (String, u64, u64);
 
 /// All records of a stream by run and number, and the order they came in.
-fn all(mut merged: Merged) -> (BTreeMap<Key, Record>, Vec<Key>) {
+fn all(mut merged: MergedStream) -> (BTreeMap<Key, Record>, Vec<Key>) {
     let (mut records, mut order) = (BTreeMap::new(), Vec::new());
     let sources = merged.header().sources.clone();
     while let Some(mut record) = merged.next_record().expect("read") {
@@ -112,7 +112,8 @@
         let from = if window == 0 { i64::MIN } else { start + window * 3 * second };
         let to = if window == 11 { i64::MAX } else { start + (window + 1) * 3 * second };
         let path = folder.at(&format!("w{window}.bgt"));
-        let merged = Merged::open(&files(&[folder.at("t")]).expect("there"), from..to).expect("sound");
+        let merged =
+            MergedStream::open(&trace_files(&[folder.at("t")]).expect("there"), from..to).expect("sound");
         tools::write_all(merged, &path, &mut no_progress()).expect("written");
         cuts.push(path);
     }
@@ -122,7 +123,7 @@
     cuts.push(folder.at("t").join(&made.files[0]));
     let written = tools::write_all(open(&cuts), &folder.at("all.bgt"), &mut no_progress()).expect("written");
     assert_eq!((written.steps, written.decisions), (made.steps, made.decisions));
-    assert!(written.repeated > 0);
+    assert!(written.duplicates > 0);
     let (merged, order) = all(open(&[folder.at("all.bgt")]));
     assert!(merged == whole);
     let mut last: BTreeMap<(String, u64), u64> = BTreeMap::new();
@@ -144,14 +145,14 @@
     );
     let mut merged = open(&[folder.at("t")]);
     let alignment = tools::align(open(&[folder.at("t")]), &mut no_progress()).expect("read");
-    assert_eq!(alignment.against_cause, 0);
-    assert!(alignment.repeats > 0);
+    assert_eq!(alignment.causality_violations, 0);
+    assert!(alignment.retries > 0);
     for (offset, skew) in alignment.offsets.iter().zip(&made.skews) {
         let wrong = (offset.nanos + skew).abs();
         assert!(wrong <= offset.error.unwrap_or(0).max(2_000_000), "{offset:?} for {skew}");
     }
     assert!(made.skews.iter().any(|skew| skew.abs() > 5_000_000), "{:?}", made.skews);
-    merged.shift(&alignment.offsets.iter().map(|offset| offset.nanos).collect::<Vec<_>>());
+    merged.apply_offsets(&alignment.offsets.iter().map(|offset| offset.nanos).collect::<Vec<_>>());
     tools::write_all(merged, &folder.at("all.bgt"), &mut no_progress()).expect("written");
     // First tries that were refused, and their repeats, in the order of the merged file.
     let mut merged = open(&[folder.at("all.bgt")]);
@@ -221,7 +222,7 @@
     assert!(first.query.is_some());
     // What can't be verified says why: a window, a masked file.
     let merged =
-        Merged::open(std::slice::from_ref(&path), 1_795_766_403_000_000_000..i64::MAX).expect("sound");
+        MergedStream::open(std::slice::from_ref(&path), 1_795_766_403_000_000_000..i64::MAX).expect("sound");
     tools::write_all(merged, &folder.at("late.bgt"), &mut no_progress()).expect("written");
     let (runs, _, _) =
         tools::verify(open(&[folder.at("late.bgt")]), false, &mut no_progress()).expect("read");
@@ -310,7 +311,7 @@
 fn a_story_is_the_same_by_the_index_and_by_a_full_scan() {
     let folder = Folder::new("explain");
     make(&folder.at("t"), &Plan { rate: 110.0, servers: 8, ..plan(20) });
-    let paths = files(&[folder.at("t")]).expect("there");
+    let paths = trace_files(&[folder.at("t")]).expect("there");
     // A title-flag that was tried at two brokers.
     let (mut merged, mut tries) = (open(&[folder.at("t")]), BTreeMap::<String, Vec<(u32, String)>>::new());
     while let Some(record) = merged.next_record().expect("read") {
@@ -327,7 +328,7 @@
     assert_eq!(told, scanned);
     assert!(effort.blocks < all_of_it.blocks, "{effort:?} {all_of_it:?}");
     // A broker that was killed left a file without an index, which says so.
-    assert!(notices.iter().all(|notice| notice.what.contains("not closed")), "{notices:?}");
+    assert!(notices.iter().all(|notice| notice.message.contains("not closed")), "{notices:?}");
     let taken = told.iter().filter(|one| one.line.text.contains(" taken: title-flag ")).count();
     assert_eq!(taken, tries.len());
     assert!(told.is_sorted_by_key(|one| one.unix));
@@ -369,7 +370,7 @@
     small(&c, 1, 1_000_000_000, 30..=80, false);
     assert_eq!(all(open(&[c.clone(), a.clone()])).0.len(), 80);
     // An empty file, one of another major version, and one that is masked, are refused with their name.
-    let refused = |path: &Path| match Merged::open(&[a.clone(), path.to_owned()], i64::MIN..i64::MAX) {
+    let refused = |path: &Path| match MergedStream::open(&[a.clone(), path.to_owned()], i64::MIN..i64::MAX) {
         Ok(_) => panic!("{} is taken", path.display()),
         Err(error) => error.to_string(),
     };
@@ -387,7 +388,10 @@
     );
     small(&b, 3, 0, 1..=2, true);
     assert!(refused(&b).contains("is masked and"), "{}", refused(&b));
-    assert!(matches!(files(&[folder.at("t"), folder.0.join("none")]).map(|f| open_error(&f)), Ok(true)));
+    assert!(matches!(
+        trace_files(&[folder.at("t"), folder.0.join("none")]).map(|f| open_error(&f)),
+        Ok(true)
+    ));
     // Nothing is written over, and nothing half written is left.
     let error =
         tools::write_all(open(std::slice::from_ref(&a)), &c, &mut no_progress()).expect_err("there already");
@@ -402,7 +406,7 @@
 }
 
 fn open_error(files: &[PathBuf]) -> bool {
-    matches!(Merged::open(files, i64::MIN..i64::MAX), Err(MergeError::Open(..)))
+    matches!(MergedStream::open(files, i64::MIN..i64::MAX), Err(MergeError::Open(..)))
 }
 
 #[test]
--- a/crates/trace/src/align.rs
+++ b/crates/trace/src/align.rs
@@ -21,7 +21,7 @@
 
 /// The end of a try at one broker, and the next try at another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Repeat {
+pub struct ClientRetry {
     /// Whose client was told, or left, and when by its own clock.
     pub cause: (usize, i64),
     /// Who took the next try, and when by its own clock.
@@ -34,19 +34,19 @@
     /// In nanoseconds.
     pub nanos: i64,
     /// Versions of the list that it was told of together with others.
-    pub common: usize,
+    pub common_versions: usize,
     /// Two standard errors of the estimate, in nanoseconds; none where it is no estimate: a source that all
     /// others are measured by, or one that has nothing in common with any.
     pub error: Option<i64>,
     /// By how much repeats have moved it, in nanoseconds.
-    pub moved_by_repeats: i64,
+    pub retry_correction: i64,
 }
 
 /// What the sources saw in common.
 #[derive(Clone, Debug, Default)]
-pub struct Sightings {
+pub struct ClockObservations {
     versions: Vec<BTreeMap<u64, i64>>,
-    repeats: Vec<Repeat>,
+    retries: Vec<ClientRetry>,
     /// Idempotency keys of first tries under way, by source and query.
     open: HashMap<(usize, QueryId), String>,
     opened: VecDeque<(usize, QueryId)>,
@@ -56,14 +56,14 @@
     order: VecDeque<String>,
 }
 
-impl Sightings {
+impl ClockObservations {
     /// Of so many sources.
     pub fn new(sources: usize) -> Self {
-        Sightings { versions: vec![BTreeMap::new(); sources], ..Sightings::default() }
+        ClockObservations { versions: vec![BTreeMap::new(); sources], ..ClockObservations::default() }
     }
 
     /// Takes in a record of a source, at a Unix time by its own clock.
-    pub fn see(&mut self, source: usize, unix: i64, record: &Record) {
+    pub fn observe(&mut self, source: usize, unix: i64, record: &Record) {
         // Whole lists come when a broker connects, each at a time of its own: changes alone come to all at once.
         let lists =
             record.events.iter().filter(|e| matches!(e, Event::Servers(_) | Event::ServersChanged(_)));
@@ -72,15 +72,15 @@
                 self.versions[source].entry(*version).or_insert(unix);
             }
         }
-        let repeats = record.events.iter().filter_map(|event| match event {
+        let retries = record.events.iter().filter_map(|event| match event {
             Event::Query(query) => Some((query.id, query.repeated)),
             _ => None,
         });
-        for ((query, repeated), named) in repeats.zip(&record.named) {
+        for ((query, repeated), named) in retries.zip(&record.named) {
             let Some(key) = named.idempotency.clone() else { continue };
             if repeated {
                 if let Some(cause) = self.ended.get(&key).copied().filter(|cause| cause.0 != source) {
-                    self.repeats.push(Repeat { cause, effect: (source, unix) });
+                    self.retries.push(ClientRetry { cause, effect: (source, unix) });
                 }
                 self.repeated.entry(key.clone()).or_default().push((source, unix));
                 self.keep(key);
@@ -105,7 +105,7 @@
         for query in gone.chain(told) {
             let Some(key) = self.open.remove(&(source, query)) else { continue };
             for effect in self.repeated.get(&key).into_iter().flatten().filter(|e| e.0 != source) {
-                self.repeats.push(Repeat { cause: (source, unix), effect: *effect });
+                self.retries.push(ClientRetry { cause: (source, unix), effect: *effect });
             }
             self.ended.insert(key.clone(), (source, unix));
             self.keep(key);
@@ -123,13 +123,13 @@
     }
 
     /// Repeats found so far.
-    pub fn repeats(&self) -> &[Repeat] {
-        &self.repeats
+    pub fn retries(&self) -> &[ClientRetry] {
+        &self.retries
     }
 
     /// The offsets that put all sources on the clock of the first, as far as they have anything in common.
-    pub fn offsets(&self) -> Vec<Offset> {
-        offsets(&self.versions, &self.repeats)
+    pub fn estimate_offsets(&self) -> Vec<Offset> {
+        estimate_offsets(&self.versions, &self.retries)
     }
 }
 
@@ -144,7 +144,7 @@
 }
 
 /// Estimates offsets from when each source was told of versions, and moves them as little as repeats ask.
-pub fn offsets(versions: &[BTreeMap<u64, i64>], repeats: &[Repeat]) -> Vec<Offset> {
+pub fn estimate_offsets(versions: &[BTreeMap<u64, i64>], retries: &[ClientRetry]) -> Vec<Offset> {
     let count = versions.len();
     let mut by_version: BTreeMap<u64, Vec<(usize, i64)>> = BTreeMap::new();
     for (source, seen) in versions.iter().enumerate() {
@@ -196,18 +196,18 @@
         let spread = median(&mut off).unwrap_or(0) as f64 * NORMAL;
         let error = (group[source] != source && common > 0)
             .then(|| (2.0 * MEDIAN_ERROR * spread / (common as f64).sqrt()).ceil() as i64);
-        found.push(Offset { nanos: nanos[source], common, error, moved_by_repeats: 0 });
+        found.push(Offset { nanos: nanos[source], common_versions: common, error, retry_correction: 0 });
     }
-    hold(&mut found, repeats);
+    hold(&mut found, retries);
     found
 }
 
 /// Moves sources so that every repeat comes after what it repeats, where any offsets can do that. The first
 /// source is what all are measured by: it stays.
-fn hold(offsets: &mut [Offset], repeats: &[Repeat]) {
+fn hold(offsets: &mut [Offset], retries: &[ClientRetry]) {
     // The tightest bound for each pair says it all.
     let mut bounds: BTreeMap<(usize, usize), i64> = BTreeMap::new();
-    for Repeat { cause, effect } in repeats {
+    for ClientRetry { cause, effect } in retries {
         let least = bounds.entry((cause.0, effect.0)).or_insert(i64::MIN);
         *least = (*least).max(cause.1.saturating_sub(effect.1).saturating_add(1));
     }
@@ -232,7 +232,7 @@
             let later = if cause == 0 { short } else { short.min(room) };
             for (who, by) in [(effect, later), (cause, later - short)] {
                 offsets[who].nanos += by;
-                offsets[who].moved_by_repeats += by;
+                offsets[who].retry_correction += by;
             }
             moved = true;
         }
@@ -243,9 +243,9 @@
 }
 
 /// Repeats that still come before what they repeat: no offsets can put them right.
-pub fn against_cause(offsets: &[i64], repeats: &[Repeat]) -> usize {
-    let against = |r: &&Repeat| r.effect.1 + offsets[r.effect.0] <= r.cause.1 + offsets[r.cause.0];
-    repeats.iter().filter(against).count()
+pub fn causality_violations(offsets: &[i64], retries: &[ClientRetry]) -> usize {
+    let against = |r: &&ClientRetry| r.effect.1 + offsets[r.effect.0] <= r.cause.1 + offsets[r.cause.0];
+    retries.iter().filter(against).count()
 }
 
 #[cfg(test)]
@@ -270,11 +270,11 @@
     #[test]
     fn clocks_that_disagree_are_put_right_within_the_stated_error() {
         let off = [0, 5 * MS, -3 * MS, 40 * MS];
-        let found = offsets(&seen(&off, 40, 2 * MS), &[]);
+        let found = estimate_offsets(&seen(&off, 40, 2 * MS), &[]);
         for (source, offset) in found.iter().enumerate() {
             let wrong = (offset.nanos + off[source]).abs();
             assert!(wrong <= offset.error.unwrap_or(0) + MS / 2, "{source}: {offset:?} is off by {wrong}");
-            assert_eq!(offset.common, 40);
+            assert_eq!(offset.common_versions, 40);
         }
         assert_eq!((found[0].nanos, found[0].error), (0, None));
     }
@@ -285,7 +285,7 @@
         for version in [3, 9, 12, 17] {
             *versions[1].get_mut(&version).expect("seen") += 4000 * MS;
         }
-        let found = offsets(&versions, &[]);
+        let found = estimate_offsets(&versions, &[]);
         assert!((found[1].nanos + 5 * MS).abs() < MS, "{found:?}");
     }
 
@@ -293,9 +293,9 @@
     fn nothing_in_common_is_left_and_said() {
         let mut versions = seen(&[0, 5 * MS], 3, 0);
         versions.push(BTreeMap::new());
-        let found = offsets(&versions, &[]);
-        assert_eq!((found[2].nanos, found[2].common, found[2].error), (0, 0, None));
-        assert_eq!(offsets(&[], &[]), []);
+        let found = estimate_offsets(&versions, &[]);
+        assert_eq!((found[2].nanos, found[2].common_versions, found[2].error), (0, 0, None));
+        assert_eq!(estimate_offsets(&[], &[]), []);
     }
 
     #[test]
@@ -304,7 +304,7 @@
         for own in [2, 3] {
             versions[own] = versions[own].iter().map(|(v, at)| (v + 1000, *at)).collect();
         }
-        let found: Vec<i64> = offsets(&versions, &[]).iter().map(|o| o.nanos).collect();
+        let found: Vec<i64> = estimate_offsets(&versions, &[]).iter().map(|o| o.nanos).collect();
         assert_eq!(found, [0, -5 * MS, 0, -2 * MS]);
     }
 
@@ -313,18 +313,18 @@
         let versions = seen(&[0, 0, 0], 4, 0);
         // By the lists all clocks agree, yet a refusal at 1 was repeated at 2 before it, by 3 ms; and one at 2
         // was repeated at the first, which stays where it is.
-        let repeats = [
-            Repeat { cause: (1, 1000 * MS), effect: (2, 997 * MS) },
-            Repeat { cause: (2, 2000 * MS), effect: (0, 2001 * MS) },
+        let retries = [
+            ClientRetry { cause: (1, 1000 * MS), effect: (2, 997 * MS) },
+            ClientRetry { cause: (2, 2000 * MS), effect: (0, 2001 * MS) },
         ];
-        let found = offsets(&versions, &repeats);
+        let found = estimate_offsets(&versions, &retries);
         let nanos: Vec<i64> = found.iter().map(|o| o.nanos).collect();
-        assert_eq!(against_cause(&nanos, &repeats), 0, "{found:?}");
+        assert_eq!(causality_violations(&nanos, &retries), 0, "{found:?}");
         assert_eq!(nanos[0], 0);
-        assert!(found[2].moved_by_repeats != 0);
+        assert!(found[2].retry_correction != 0);
         // What no offsets can put right is counted, and ends.
-        let both = [repeats[0], Repeat { cause: (2, 1000 * MS), effect: (1, 999 * MS) }];
-        let nanos: Vec<i64> = offsets(&versions, &both).iter().map(|o| o.nanos).collect();
-        assert!(against_cause(&nanos, &both) > 0);
+        let both = [retries[0], ClientRetry { cause: (2, 1000 * MS), effect: (1, 999 * MS) }];
+        let nanos: Vec<i64> = estimate_offsets(&versions, &both).iter().map(|o| o.nanos).collect();
+        assert!(causality_violations(&nanos, &both) > 0);
     }
 }
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -22,9 +22,9 @@
     /// A file fails while it is read.
     Io(PathBuf, io::Error),
     /// Some files are masked and some are not.
-    Masked(PathBuf, PathBuf),
+    MixedMasking(PathBuf, PathBuf),
     /// There are no files.
-    Nothing(PathBuf),
+    NoTraceFiles(PathBuf),
 }
 
 impl fmt::Display for MergeError {
@@ -32,10 +32,10 @@
         match self {
             MergeError::Open(path, error) => write!(f, "{}: {error}", path.display()),
             MergeError::Io(path, error) => write!(f, "{}: {error}", path.display()),
-            MergeError::Masked(masked, plain) => {
+            MergeError::MixedMasking(masked, plain) => {
                 write!(f, "{} is masked and {} is not: mask that first", masked.display(), plain.display())
             }
-            MergeError::Nothing(path) => write!(f, "{}: holds no trace file", path.display()),
+            MergeError::NoTraceFiles(path) => write!(f, "{}: holds no trace file", path.display()),
         }
     }
 }
@@ -63,7 +63,7 @@
 /// # Errors
 ///
 /// When a folder can't be read or holds none.
-pub fn files(paths: &[PathBuf]) -> Result<Vec<PathBuf>, MergeError> {
+pub fn trace_files(paths: &[PathBuf]) -> Result<Vec<PathBuf>, MergeError> {
     let mut files = Vec::new();
     for path in paths {
         if !path.is_dir() {
@@ -79,7 +79,7 @@
             }
         }
         if own.is_empty() {
-            return Err(MergeError::Nothing(path.clone()));
+            return Err(MergeError::NoTraceFiles(path.clone()));
         }
         own.sort();
         files.extend(own);
@@ -128,11 +128,11 @@
     /// The file.
     pub path: PathBuf,
     /// What is wrong with it.
-    pub what: String,
+    pub message: String,
 }
 
 /// Many files as one stream.
-pub struct Merged {
+pub struct MergedStream {
     header: Header,
     inputs: Vec<Input>,
     runs: Vec<Run>,
@@ -140,10 +140,10 @@
     notices: BTreeSet<(PathBuf, String)>,
     window: Range<i64>,
     /// Steps that were in more than one file.
-    repeated: u64,
+    duplicates: u64,
 }
 
-impl Merged {
+impl MergedStream {
     /// Opens files; `window` bounds the Unix times of what is read, in nanoseconds.
     ///
     /// # Errors
@@ -161,7 +161,7 @@
                 None => first = Some((path.clone(), masked)),
                 Some((other, was)) if *was != masked => {
                     let (a, b) = if masked { (path, other) } else { (other, path) };
-                    return Err(MergeError::Masked(a.clone(), b.clone()));
+                    return Err(MergeError::MixedMasking(a.clone(), b.clone()));
                 }
                 Some(_) => {}
             }
@@ -191,14 +191,14 @@
                 cursors,
             });
         }
-        Ok(Merged {
+        Ok(MergedStream {
             header,
             inputs,
             runs,
             servers: Servers::new(),
             notices: BTreeSet::new(),
             window,
-            repeated: 0,
+            duplicates: 0,
         })
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Puts the sources' clocks right by so much, in nanoseconds, before anything is read.
-    pub fn shift(&mut self, offsets: &[i64]) {
+    pub fn apply_offsets(&mut self, offsets: &[i64]) {
         for (source, offset) in self.header.sources.iter_mut().zip(offsets) {
             source.moved = source.moved.saturating_add(*offset);
         }
@@ -226,13 +226,13 @@
 
     /// What was found out about the files so far.
     pub fn notices(&self) -> Vec<Notice> {
-        let notice = |(path, what): &(PathBuf, String)| Notice { path: path.clone(), what: what.clone() };
+        let notice = |(path, what): &(PathBuf, String)| Notice { path: path.clone(), message: what.clone() };
         self.notices.iter().map(notice).collect()
     }
 
     /// Steps that were in more than one file, and were given once.
-    pub fn repeated(&self) -> u64 {
-        self.repeated
+    pub fn duplicates(&self) -> u64 {
+        self.duplicates
     }
 
     /// How far reading has come, of how much, in bytes.
@@ -273,7 +273,7 @@
     /// Finds a run's next step. Where nothing of it is held, gives the file that may have it, and from when on.
     fn fill(&mut self, index: usize) -> Result<Option<(i64, usize)>, MergeError> {
         loop {
-            let Merged { header, inputs, runs, .. } = self;
+            let MergedStream { header, inputs, runs, .. } = self;
             let (run, source) = (&mut runs[index], &header.sources[index]);
             let held = run.cursors.iter().enumerate().filter(|(_, cursor)| !cursor.held.is_empty());
             let ready = held.min_by_key(|(_, cursor)| cursor.bound).map(|(at, cursor)| (at, cursor.bound));
@@ -293,7 +293,7 @@
             let Some(mut record) = cursor.held.pop_front() else { continue };
             cursor.bound = cursor.held.front().map_or(record.sequence + 1, |next| next.sequence);
             if record.sequence <= run.last {
-                self.repeated += 1;
+                self.duplicates += 1;
                 continue;
             }
             run.last = record.sequence;
--- a/crates/trace/src/story.rs
+++ b/crates/trace/src/story.rs
@@ -338,8 +338,10 @@
         let mut reasons = vec![cause_word(why.cause)];
         let mut missing = Vec::new();
         for (part, why) in &why.missing {
-            let block =
-                self.tracker.shard_of_part(*part).map_or_else(|| part.0.to_string(), |block| block.to_string());
+            let block = self
+                .tracker
+                .shard_of_part(*part)
+                .map_or_else(|| part.0.to_string(), |block| block.to_string());
             text.push_str(&format!("; block {block}: {}", missing_says(*why)));
             missing.push(json!({"block": block, "why": missing_word(*why)}));
             if !reasons.contains(&missing_word(*why)) {
--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -7,10 +7,10 @@
 
 use badgergauge_core::QueryId;
 
-use crate::align::{Offset, Sightings, against_cause};
+use crate::align::{ClockObservations, Offset, causality_violations};
 use crate::header::Header;
 use crate::mask::Mask;
-use crate::merge::{MergeError, Merged, Notice, open};
+use crate::merge::{MergeError, MergedStream, Notice, open};
 use crate::read::{End, Reader};
 use crate::record::{Record, Servers, Source};
 use crate::replay::{Difference, Replay, Unverifiable};
@@ -56,9 +56,9 @@
 ///
 /// When the stream can't be read, or `take` says so.
 pub fn each_record(
-    merged: &mut Merged,
+    merged: &mut MergedStream,
     progress: Progress,
-    mut take: impl FnMut(&Merged, Record) -> Result<(), ToolError>,
+    mut take: impl FnMut(&MergedStream, Record) -> Result<(), ToolError>,
 ) -> Result<(), ToolError> {
     let mut steps = 0_u64;
     while let Some(record) = merged.next_record()? {
@@ -80,7 +80,7 @@
     /// See `steps`.
     pub decisions: u64,
     /// Steps that were in more than one file, and were written once.
-    pub repeated: u64,
+    pub duplicates: u64,
     /// What was found out about the files: with any, the result may lack something.
     pub notices: Vec<Notice>,
 }
@@ -123,7 +123,7 @@
 /// # Errors
 ///
 /// When it can't be read or written; then there is no file.
-pub fn write_all(mut merged: Merged, path: &Path, progress: Progress) -> Result<Written, ToolError> {
+pub fn write_all(mut merged: MergedStream, path: &Path, progress: Progress) -> Result<Written, ToolError> {
     let (output, file) = Output::create(path)?;
     let lost = |error| ToolError::Write(path.to_owned(), error);
     let mut writer = Writer::new(file, merged.header().clone()).map_err(lost)?;
@@ -133,7 +133,7 @@
         written.decisions += record.actions.len() as u64;
         writer.add(&record, merged.servers()).map_err(lost)
     })?;
-    written.repeated = merged.repeated();
+    written.duplicates = merged.duplicates();
     written.notices = merged.notices();
     output.done(writer.finish().map_err(lost)?)?;
     Ok(written)
@@ -145,9 +145,9 @@
     /// What is to be added, by source.
     pub offsets: Vec<Offset>,
     /// Repeats of one broker's client at another, and those that would still come before their cause.
-    pub repeats: usize,
+    pub retries: usize,
     /// See `repeats`.
-    pub against_cause: usize,
+    pub causality_violations: usize,
 }
 
 /// Estimates how far the clocks of a stream's sources disagree, by reading it once.
@@ -155,17 +155,17 @@
 /// # Errors
 ///
 /// When it can't be read.
-pub fn align(mut merged: Merged, progress: Progress) -> Result<Alignment, ToolError> {
-    let mut sightings = Sightings::new(merged.header().sources.len());
+pub fn align(mut merged: MergedStream, progress: Progress) -> Result<Alignment, ToolError> {
+    let mut observations = ClockObservations::new(merged.header().sources.len());
     each_record(&mut merged, progress, |merged, record| {
         let source = record.source as usize;
-        sightings.see(source, merged.header().sources[source].unix(record.time), &record);
+        observations.observe(source, merged.header().sources[source].unix(record.time), &record);
         Ok(())
     })?;
-    let offsets = sightings.offsets();
+    let offsets = observations.estimate_offsets();
     let nanos: Vec<i64> = offsets.iter().map(|offset| offset.nanos).collect();
-    let against_cause = against_cause(&nanos, sightings.repeats());
-    Ok(Alignment { offsets, repeats: sightings.repeats().len(), against_cause })
+    let causality_violations = causality_violations(&nanos, observations.retries());
+    Ok(Alignment { offsets, retries: observations.retries().len(), causality_violations })
 }
 
 /// Copies a file record by record, with keys replaced where a mask is given. Gives how the original ends.
@@ -194,7 +194,7 @@
             writer.add(&record, reader.servers()).map_err(lost)?;
         }
     }
-    let notice = |what: String| Notice { path: from.to_owned(), what };
+    let notice = |message: String| Notice { path: from.to_owned(), message };
     written.notices = reader.faults().into_iter().map(notice).collect();
     let end = reader.end().unwrap_or(End::Open);
     output.done(writer.finish().map_err(lost)?)?;
@@ -220,7 +220,7 @@
 ///
 /// When the stream can't be read.
 pub fn verify(
-    mut merged: Merged,
+    mut merged: MergedStream,
     reasons: bool,
     progress: Progress,
 ) -> Result<(Vec<Verified>, Vec<Notice>, Servers), ToolError> {
@@ -412,8 +412,8 @@
         }
         effort.scanned += 1;
     }
-    for what in reader.faults() {
-        let notice = Notice { path: path.to_owned(), what };
+    for message in reader.faults() {
+        let notice = Notice { path: path.to_owned(), message };
         if !notices.contains(&notice) {
             notices.push(notice);
         }
--- a/crates/trace/src/track.rs
+++ b/crates/trace/src/track.rs
@@ -41,7 +41,8 @@
                     let Some((_, id)) = self.until.pop_front() else { break };
                     self.queries.remove(&id);
                 }
-                let tracked = TrackedQuery { query: query.id, class: query.class, taken: now, shards: Vec::new() };
+                let tracked =
+                    TrackedQuery { query: query.id, class: query.class, taken: now, shards: Vec::new() };
                 self.queries.insert(query.id.0, tracked);
                 self.until.push_back((now.after(query.left).after(AFTER), query.id.0));
             }
@@ -89,7 +90,9 @@
 pub fn query_of_action(tracker: &QueryTracker, action: &badgergauge_core::Action) -> Option<QueryId> {
     use badgergauge_core::Action;
     match action {
-        Action::Send { part, .. } | Action::Cancel { part, .. } => tracker.query_of_part(*part).map(|q| q.query),
+        Action::Send { part, .. } | Action::Cancel { part, .. } => {
+            tracker.query_of_part(*part).map(|q| q.query)
+        }
         Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query, .. } => {
             Some(*query)
         }
--- a/src/bin/badgergauge/trace.rs
+++ b/src/bin/badgergauge/trace.rs
@@ -8,7 +8,7 @@
 use badgergauge_synth::Plan;
 use badgergauge_trace::align::Offset;
 use badgergauge_trace::mask::Mask;
-use badgergauge_trace::merge::{Merged, Notice, files, open, run_name};
+use badgergauge_trace::merge::{MergedStream, Notice, open, run_name, trace_files};
 use badgergauge_trace::read::End;
 use badgergauge_trace::record::server_name;
 use badgergauge_trace::story::{Line, REASONS, Teller};
@@ -345,10 +345,10 @@
 /// Says what was found out about the files; a result that lacks something for it is incomplete.
 fn say(notices: &[Notice]) -> u8 {
     let mut code = DONE;
-    for Notice { path, what } in notices {
-        eprintln!("badgergauge: trace: {}: {what}", path.display());
+    for Notice { path, message } in notices {
+        eprintln!("badgergauge: trace: {}: {message}", path.display());
         // An index that is missing costs time alone.
-        if *what != End::Open.to_string() {
+        if *message != End::Open.to_string() {
             code = INCOMPLETE;
         }
     }
@@ -386,7 +386,7 @@
 
 fn info(arguments: &Inputs) -> Result<u8, Stop> {
     let mut code = DONE;
-    for path in files(&arguments.inputs)? {
+    for path in trace_files(&arguments.inputs)? {
         let mut reader = open(&path)?;
         let (major, minor) = reader.version();
         let lost = |error| ToolError::Write(path.clone(), error);
@@ -451,8 +451,8 @@
     Ok(code)
 }
 
-fn all(arguments: &Inputs) -> Result<Merged, Stop> {
-    Ok(Merged::open(&files(&arguments.inputs)?, i64::MIN..i64::MAX)?)
+fn all(arguments: &Inputs) -> Result<MergedStream, Stop> {
+    Ok(MergedStream::open(&trace_files(&arguments.inputs)?, i64::MIN..i64::MAX)?)
 }
 
 fn cat(arguments: &Cat) -> Result<u8, Stop> {
@@ -511,10 +511,10 @@
 }
 
 fn cut(arguments: &Cut) -> Result<u8, Stop> {
-    let files = files(&arguments.inputs.inputs)?;
+    let files = trace_files(&arguments.inputs.inputs)?;
     let relative = [&arguments.from, &arguments.to].into_iter().flatten().any(|text| text.starts_with('+'));
     let start = if relative {
-        let mut merged = Merged::open(&files, i64::MIN..i64::MAX)?;
+        let mut merged = MergedStream::open(&files, i64::MIN..i64::MAX)?;
         let first = merged.next_record()?;
         first.map_or(0, |record| merged.header().sources[record.source as usize].unix(record.time))
     } else {
@@ -526,15 +526,16 @@
     };
     let window = at("from", &arguments.from, i64::MIN)?..at("to", &arguments.to, i64::MAX)?;
     let bar = Bar::new("cutting");
-    let written = tools::write_all(Merged::open(&files, window)?, &arguments.out, &mut |d, a| bar.at(d, a))?;
+    let written =
+        tools::write_all(MergedStream::open(&files, window)?, &arguments.out, &mut |d, a| bar.at(d, a))?;
     drop(bar);
     println!("{}: {} steps, {} decisions", arguments.out.display(), written.steps, written.decisions);
     Ok(say(&written.notices))
 }
 
 fn merge(arguments: &Merge) -> Result<u8, Stop> {
-    let files = files(&arguments.inputs.inputs)?;
-    let mut merged = Merged::open(&files, i64::MIN..i64::MAX)?;
+    let files = trace_files(&arguments.inputs.inputs)?;
+    let mut merged = MergedStream::open(&files, i64::MIN..i64::MAX)?;
     let sources = merged.header().sources.clone();
     for (broker, _) in &arguments.offset {
         if !sources.iter().any(|source| source.broker == *broker) {
@@ -545,15 +546,16 @@
     let mut code = DONE;
     if !arguments.no_align {
         let bar = Bar::new("comparing clocks");
-        let alignment = tools::align(Merged::open(&files, i64::MIN..i64::MAX)?, &mut |d, a| bar.at(d, a))?;
+        let alignment =
+            tools::align(MergedStream::open(&files, i64::MIN..i64::MAX)?, &mut |d, a| bar.at(d, a))?;
         drop(bar);
         offsets = alignment.offsets;
-        println!("{} repeats of one broker's clients at another", alignment.repeats);
-        if alignment.against_cause > 0 {
+        println!("{} repeats of one broker's clients at another", alignment.retries);
+        if alignment.causality_violations > 0 {
             code = INCOMPLETE;
             eprintln!(
                 "badgergauge: trace: {} repeats come before what they repeat, whatever the offsets",
-                alignment.against_cause
+                alignment.causality_violations
             );
         }
     }
@@ -565,19 +567,23 @@
                 "as given".to_owned()
             }
             (None, Some(error)) => {
-                format!("give or take {:.3} ms, by {} list versions", error as f64 / 1e6, found.common)
+                format!(
+                    "give or take {:.3} ms, by {} list versions",
+                    error as f64 / 1e6,
+                    found.common_versions
+                )
             }
-            (None, None) if found.common > 0 => "the others are measured by it".to_owned(),
+            (None, None) if found.common_versions > 0 => "the others are measured by it".to_owned(),
             (None, None) => "nothing to measure it by".to_owned(),
         };
-        let repeats = match found.moved_by_repeats {
+        let repeats = match found.retry_correction {
             0 => String::new(),
             by if given.is_none() => format!(", moved by {:.3} ms for repeats", by as f64 / 1e6),
             _ => String::new(),
         };
         println!("{}: {:+.3} ms, {why}{repeats}", run_name(source), found.nanos as f64 / 1e6);
     }
-    merged.shift(&offsets.iter().map(|offset| offset.nanos).collect::<Vec<_>>());
+    merged.apply_offsets(&offsets.iter().map(|offset| offset.nanos).collect::<Vec<_>>());
     let bar = Bar::new("merging");
     let written = tools::write_all(merged, &arguments.out, &mut |d, a| bar.at(d, a))?;
     drop(bar);
@@ -586,7 +592,7 @@
         arguments.out.display(),
         written.steps,
         written.decisions,
-        written.repeated
+        written.duplicates
     );
     Ok(code.max(say(&written.notices)))
 }
@@ -603,7 +609,7 @@
     let mask = Mask::new(&secret);
     fs::create_dir_all(&arguments.out).map_err(|error| ToolError::Write(arguments.out.clone(), error))?;
     let mut code = DONE;
-    for path in files(&arguments.inputs.inputs)? {
+    for path in trace_files(&arguments.inputs.inputs)? {
         let name = path.file_name().map_or_else(|| Path::new("trace.bgt").into(), PathBuf::from);
         let (written, _) = tools::copy(&path, &arguments.out.join(name), Some(&mask))?;
         code = code.max(say(&written.notices));
@@ -741,7 +747,7 @@
 }
 
 fn explain(arguments: &Explain) -> Result<u8, Stop> {
-    let files = files(&arguments.inputs.inputs)?;
+    let files = trace_files(&arguments.inputs.inputs)?;
     let (told, effort, notices) = tools::explain(&files, &arguments.query, arguments.scan)?;
     if told.is_empty() {
         say(&notices);
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command};
 
 use badgergauge_standin::{Manner, TileServer};
-use badgergauge_trace::merge::{Merged, files};
+use badgergauge_trace::merge::{MergedStream, trace_files};
 use badgergauge_trace::tools;
 mod program;
 
@@ -70,7 +70,7 @@
     }
 
     fn files(&self) -> Vec<PathBuf> {
-        files(&[self.dir.join("t")]).expect("files")
+        trace_files(&[self.dir.join("t")]).expect("files")
     }
 }
 
@@ -78,8 +78,8 @@
     (0..2).map(|_| TileServer::start().expect("starts")).collect()
 }
 
-fn all(files: &[PathBuf]) -> Merged {
-    Merged::open(files, i64::MIN..i64::MAX).expect("sound")
+fn all(files: &[PathBuf]) -> MergedStream {
+    MergedStream::open(files, i64::MIN..i64::MAX).expect("sound")
 }
 
 fn story(files: &[PathBuf], name: &str) -> Vec<String> {
@@ -155,7 +155,7 @@
     }
     assert_eq!(named, ["q1"]);
     let notices = merged.notices();
-    assert!(notices.iter().all(|notice| notice.what.contains("not closed")), "{notices:?}");
+    assert!(notices.iter().all(|notice| notice.message.contains("not closed")), "{notices:?}");
 }
 
 // Guards the start: a folder that can't be used ends the program with the key.
