--- a/crates/synth/tests/tools.rs
+++ b/crates/synth/tests/tools.rs
@@ -323,10 +323,10 @@
     }
     let two = |tries: &&Vec<(u32, String)>| tries.iter().any(|one| one.0 != tries[0].0);
     let tries = tries.values().find(two).expect("some are tried at two brokers");
-    let (told, effort, notices) = tools::explain(&paths, &tries[0].1, false).expect("read");
+    let (told, stats, notices) = tools::explain(&paths, &tries[0].1, false).expect("read");
     let (scanned, all_of_it, _) = tools::explain(&paths, &tries[0].1, true).expect("read");
     assert_eq!(told, scanned);
-    assert!(effort.blocks < all_of_it.blocks, "{effort:?} {all_of_it:?}");
+    assert!(stats.blocks < all_of_it.blocks, "{stats:?} {all_of_it:?}");
     // A broker that was killed left a file without an index, which says so.
     assert!(notices.iter().all(|notice| notice.message.contains("not closed")), "{notices:?}");
     let taken = told.iter().filter(|one| one.line.text.contains(" taken: title-flag ")).count();
--- a/crates/trace/src/story.rs
+++ b/crates/trace/src/describe.rs
@@ -29,7 +29,7 @@
 }
 
 /// Why a home replica was left, as filters know it.
-pub fn left_word(left: Left) -> &'static str {
+pub fn left_name(left: Left) -> &'static str {
     match left {
         Left::Busy => "busy",
         Left::Slow => "slow",
@@ -43,7 +43,7 @@
 }
 
 /// Why a part is not in.
-pub fn missing_word(missing: Missing) -> &'static str {
+pub fn missing_name(missing: Missing) -> &'static str {
     match missing {
         Missing::Unasked => "unasked",
         Missing::Out => "out",
@@ -57,7 +57,7 @@
 }
 
 /// What made a query end.
-pub fn cause_word(cause: Cause) -> &'static str {
+pub fn cause_name(cause: Cause) -> &'static str {
     match cause {
         Cause::Whole => "whole",
         Cause::TimeUp => "time-up",
@@ -67,7 +67,7 @@
 }
 
 /// How an attempt ended.
-pub fn verdict_word(verdict: Verdict) -> &'static str {
+pub fn verdict_name(verdict: Verdict) -> &'static str {
     match verdict {
         Verdict::Served => "served",
         Verdict::Error => "error",
@@ -106,7 +106,7 @@
     "not-taken",
 ];
 
-fn state_word(state: ServerState) -> &'static str {
+fn state_name(state: ServerState) -> &'static str {
     match state {
         ServerState::Up => "up",
         ServerState::Draining => "draining",
@@ -118,7 +118,7 @@
     (span.as_secs_f64() * 1e6).round() / 1e3
 }
 
-fn left_says(left: Left, home: &str) -> String {
+fn left_text(left: Left, home: &str) -> String {
     match left {
         Left::Busy => format!("its home {home} has enough of this broker's parts out"),
         Left::Slow => format!("its home {home} is predicted to be too much slower"),
@@ -131,7 +131,7 @@
     }
 }
 
-fn missing_says(missing: Missing) -> &'static str {
+fn missing_text(missing: Missing) -> &'static str {
     match missing {
         Missing::Unasked => "nothing was decided on it yet",
         Missing::Out => "its answer had not come",
@@ -144,7 +144,7 @@
     }
 }
 
-fn cause_says(cause: Cause) -> &'static str {
+fn cause_text(cause: Cause) -> &'static str {
     match cause {
         Cause::Whole => "all that was needed is in",
         Cause::TimeUp => "time is up",
@@ -155,24 +155,24 @@
 
 /// Tells records of one run; it must see all of them, in order.
 #[derive(Clone, Debug, Default)]
-pub struct Teller {
+pub struct Describer {
     tracker: QueryTracker,
 }
 
-impl Teller {
+impl Describer {
     /// What is known of open queries.
     pub fn tracker(&self) -> &QueryTracker {
         &self.tracker
     }
 
     /// Takes note of a record, which must come before its lines.
-    pub fn see(&mut self, record: &Record) {
+    pub fn observe(&mut self, record: &Record) {
         record.events.iter().for_each(|event| self.tracker.observe(record.time, event));
     }
 
     /// Takes note of a record and gives its lines.
-    pub fn tell(&mut self, record: &Record, source: &Source, servers: &Servers) -> Vec<Line> {
-        self.see(record);
+    pub fn describe(&mut self, record: &Record, source: &Source, servers: &Servers) -> Vec<Line> {
+        self.observe(record);
         self.lines(record, source, servers)
     }
 
@@ -279,7 +279,7 @@
             }
             Event::Outcome { part, attempt, verdict, took, .. } => {
                 let (text, mut json) = self.part(*part);
-                let word = verdict_word(*verdict);
+                let word = verdict_name(*verdict);
                 json["kind"] = "outcome".into();
                 json["attempt"] = (*attempt).into();
                 json["verdict"] = word.into();
@@ -287,7 +287,7 @@
                 (format!("{text} attempt {attempt}: {word} after {} ms", ms(*took)), json, vec![])
             }
             Event::Probed { server, verdict, took, .. } => {
-                let (name, word) = (server_name(servers, *server), verdict_word(*verdict));
+                let (name, word) = (server_name(servers, *server), verdict_name(*verdict));
                 let json = json!({"kind": "probed", "server": name, "verdict": word, "tookMs": ms(*took)});
                 (format!("probe of {name}: {word} after {} ms", ms(*took)), json, vec![*server])
             }
@@ -302,7 +302,7 @@
             Event::Servers(list) => self.list("servers", list, versions.next(), servers),
             Event::ServersChanged(list) => self.list("servers-changed", list, versions.next(), servers),
             Event::Told { server, verdict, took, .. } => {
-                let (name, word) = (server_name(servers, *server), verdict_word(*verdict));
+                let (name, word) = (server_name(servers, *server), verdict_name(*verdict));
                 let json = json!({"kind": "told", "server": name, "verdict": word, "tookMs": ms(*took)});
                 (format!("told of {name}: {word} after {} ms", ms(*took)), json, vec![*server])
             }
@@ -321,34 +321,34 @@
     ) -> (String, Value, Vec<ServerId>) {
         let version = version.copied().unwrap_or(0);
         let line =
-            |line: &Listed| format!("{} {}", server_name(servers, line.server), state_word(line.state));
+            |line: &Listed| format!("{} {}", server_name(servers, line.server), state_name(line.state));
         let said: Vec<String> = list.iter().map(line).collect();
         let what = if kind == "servers" { "list" } else { "changes of list" };
         (
             format!("{what} version {version}: {}", said.join(", ")),
             json!({"kind": kind, "version": version, "servers": list.iter().map(|line| json!({
-                "server": server_name(servers, line.server), "state": state_word(line.state),
+                "server": server_name(servers, line.server), "state": state_name(line.state),
                 "cell": line.cell})).collect::<Vec<_>>()}),
             list.iter().map(|line| line.server).collect(),
         )
     }
 
     fn ending(&self, why: &Ending) -> (String, Value, Vec<&'static str>) {
-        let mut text = cause_says(why.cause).to_owned();
-        let mut reasons = vec![cause_word(why.cause)];
+        let mut text = cause_text(why.cause).to_owned();
+        let mut reasons = vec![cause_name(why.cause)];
         let mut missing = Vec::new();
         for (part, why) in &why.missing {
             let block = self
                 .tracker
                 .shard_of_part(*part)
                 .map_or_else(|| part.0.to_string(), |block| block.to_string());
-            text.push_str(&format!("; block {block}: {}", missing_says(*why)));
-            missing.push(json!({"block": block, "why": missing_word(*why)}));
-            if !reasons.contains(&missing_word(*why)) {
-                reasons.push(missing_word(*why));
+            text.push_str(&format!("; block {block}: {}", missing_text(*why)));
+            missing.push(json!({"block": block, "why": missing_name(*why)}));
+            if !reasons.contains(&missing_name(*why)) {
+                reasons.push(missing_name(*why));
             }
         }
-        (text, json!({"cause": cause_word(why.cause), "missing": missing}), reasons)
+        (text, json!({"cause": cause_name(why.cause), "missing": missing}), reasons)
     }
 
     /// An action in words: text, JSON, servers named, reasons.
@@ -365,11 +365,11 @@
                 json["kind"] = "send".into();
                 json["server"] = name.clone().into();
                 json["home"] = home_name.clone().into();
-                json["left"] = left.map(left_word).into();
+                json["left"] = left.map(left_name).into();
                 json["predictedMs"] = ms_of(*predicted).into();
                 json["allowedMs"] = ms_of(*allowed).into();
                 json["timeOutMs"] = ms(*time_out).into();
-                let why = left.map_or_else(|| "its home".to_owned(), |left| left_says(left, &home_name));
+                let why = left.map_or_else(|| "its home".to_owned(), |left| left_text(left, &home_name));
                 let predicted = format!("predicted {} of {} ms", ms_of(*predicted), ms_of(*allowed));
                 let mut about = vec![*server];
                 if home != server {
@@ -379,7 +379,7 @@
                     format!("{text}: sent to {name}, {why}; {predicted}"),
                     json,
                     about,
-                    vec![left.map_or("home", left_word)],
+                    vec![left.map_or("home", left_name)],
                 )
             }
             Action::Cancel { part, attempt, why } => {
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod align;
 pub mod codec;
+pub mod describe;
 pub mod frame;
 pub mod header;
 pub mod mask;
@@ -16,7 +17,6 @@
 pub mod replay;
 pub mod retain;
 pub mod sample;
-pub mod story;
 pub mod summary;
 pub mod tools;
 pub mod track;
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -121,7 +121,7 @@
 }
 
 /// Sums up records of many runs, each run's in order.
-pub struct Summing {
+pub struct SummaryBuilder {
     runs: Vec<Run>,
     classes: BTreeMap<String, Tally>,
     servers: BTreeMap<ServerId, ServerTally>,
@@ -143,7 +143,7 @@
     if times.is_empty() { 0.0 } else { times.value_at_quantile(share) as f64 / 1e3 }
 }
 
-impl Summing {
+impl SummaryBuilder {
     /// Of these sources.
     pub fn new(sources: &[Source]) -> Self {
         let mut classes = BTreeMap::new();
@@ -163,7 +163,7 @@
                 attempts: HashMap::new(),
             }
         };
-        Summing {
+        SummaryBuilder {
             runs: sources.iter().map(run).collect(),
             classes,
             servers: BTreeMap::new(),
--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -8,13 +8,13 @@
 use badgergauge_core::QueryId;
 
 use crate::align::{ClockObservations, Offset, causality_violations};
+use crate::describe::{Describer, Line};
 use crate::header::Header;
 use crate::mask::Mask;
 use crate::merge::{MergeError, MergedStream, Notice, open};
 use crate::read::{End, Reader};
 use crate::record::{Record, Servers, Source};
 use crate::replay::{Difference, Replay, Unverifiable};
-use crate::story::{Line, Teller};
 use crate::track::{query_of_action, query_of_event};
 use crate::write::Writer;
 
@@ -26,7 +26,7 @@
     /// The result can't be written.
     Write(PathBuf, io::Error),
     /// What was given can't be used for this.
-    Unfit(String),
+    InvalidInput(String),
 }
 
 impl std::fmt::Display for ToolError {
@@ -34,7 +34,7 @@
         match self {
             ToolError::Read(error) => error.fmt(f),
             ToolError::Write(path, error) => write!(f, "{}: {error}", path.display()),
-            ToolError::Unfit(fault) => f.write_str(fault),
+            ToolError::InvalidInput(fault) => f.write_str(fault),
         }
     }
 }
@@ -55,7 +55,7 @@
 /// # Errors
 ///
 /// When the stream can't be read, or `take` says so.
-pub fn each_record(
+pub fn for_each_record(
     merged: &mut MergedStream,
     progress: Progress,
     mut take: impl FnMut(&MergedStream, Record) -> Result<(), ToolError>,
@@ -74,7 +74,7 @@
 
 /// What was written.
 #[derive(Clone, Debug, Default)]
-pub struct Written {
+pub struct WriteStats {
     /// Steps and decisions.
     pub steps: u64,
     /// See `steps`.
@@ -123,12 +123,12 @@
 /// # Errors
 ///
 /// When it can't be read or written; then there is no file.
-pub fn write_all(mut merged: MergedStream, path: &Path, progress: Progress) -> Result<Written, ToolError> {
+pub fn write_all(mut merged: MergedStream, path: &Path, progress: Progress) -> Result<WriteStats, ToolError> {
     let (output, file) = Output::create(path)?;
     let lost = |error| ToolError::Write(path.to_owned(), error);
     let mut writer = Writer::new(file, merged.header().clone()).map_err(lost)?;
-    let mut written = Written::default();
-    each_record(&mut merged, progress, |merged, record| {
+    let mut written = WriteStats::default();
+    for_each_record(&mut merged, progress, |merged, record| {
         written.steps += 1;
         written.decisions += record.actions.len() as u64;
         writer.add(&record, merged.servers()).map_err(lost)
@@ -157,7 +157,7 @@
 /// When it can't be read.
 pub fn align(mut merged: MergedStream, progress: Progress) -> Result<Alignment, ToolError> {
     let mut observations = ClockObservations::new(merged.header().sources.len());
-    each_record(&mut merged, progress, |merged, record| {
+    for_each_record(&mut merged, progress, |merged, record| {
         let source = record.source as usize;
         observations.observe(source, merged.header().sources[source].unix(record.time), &record);
         Ok(())
@@ -173,16 +173,16 @@
 /// # Errors
 ///
 /// When it can't be read or written; then there is no file.
-pub fn copy(from: &Path, to: &Path, mask: Option<&Mask>) -> Result<(Written, End), ToolError> {
+pub fn copy(from: &Path, to: &Path, mask: Option<&Mask>) -> Result<(WriteStats, End), ToolError> {
     let mut reader = open(from)?;
     if mask.is_some() && reader.header().masked {
-        return Err(ToolError::Unfit(format!("{}: is masked already", from.display())));
+        return Err(ToolError::InvalidInput(format!("{}: is masked already", from.display())));
     }
     let header = Header { masked: reader.header().masked || mask.is_some(), ..reader.header().clone() };
     let (output, file) = Output::create(to)?;
     let lost = |error| ToolError::Write(to.to_owned(), error);
     let mut writer = Writer::new(file, header).map_err(lost)?;
-    let mut written = Written::default();
+    let mut written = WriteStats::default();
     let read = |error| ToolError::Read(MergeError::Io(from.to_owned(), error));
     while let Some(records) = reader.next_block().map_err(read)? {
         for mut record in records {
@@ -203,7 +203,7 @@
 
 /// What a run's replay came to.
 #[derive(Clone, Debug)]
-pub struct Verified {
+pub struct RunVerification {
     /// The run.
     pub source: Source,
     /// Decisions that were the same, up to the end or to where it stopped.
@@ -223,18 +223,18 @@
     mut merged: MergedStream,
     reasons: bool,
     progress: Progress,
-) -> Result<(Vec<Verified>, Vec<Notice>, Servers), ToolError> {
+) -> Result<(Vec<RunVerification>, Vec<Notice>, Servers), ToolError> {
     let header = merged.header().clone();
-    let mut runs: Vec<(Verified, Option<Replay>)> = Vec::new();
+    let mut runs: Vec<(RunVerification, Option<Replay>)> = Vec::new();
     for source in &header.sources {
         let (replay, stopped) = match Replay::new(source, header.masked) {
             Ok(replay) => (Some(replay), None),
             Err(why) => (None, Some(why)),
         };
-        let verified = Verified { source: source.clone(), decisions: 0, difference: None, stopped };
+        let verified = RunVerification { source: source.clone(), decisions: 0, difference: None, stopped };
         runs.push((verified, replay));
     }
-    each_record(&mut merged, progress, |_, record| {
+    for_each_record(&mut merged, progress, |_, record| {
         let (verified, replay) = &mut runs[record.source as usize];
         let Some(going) = replay else { return Ok(()) };
         match going.step(&record, reasons) {
@@ -254,7 +254,7 @@
 
 /// A line of a query's story: when, by whose clock, and at which step.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct ExplainedLine {
     /// Unix time, in nanoseconds.
     pub unix: i64,
     /// The broker's name, and its run.
@@ -271,11 +271,11 @@
 
 /// What a story took to find.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Effort {
+pub struct ReadStats {
     /// Blocks read.
     pub blocks: usize,
     /// Files without an index, which were read whole.
-    pub scanned: usize,
+    pub scanned_files: usize,
 }
 
 /// The whole story of a query, by its name or its idempotency key: every try of it at every broker, in the
@@ -288,8 +288,8 @@
     files: &[PathBuf],
     query: &str,
     scan: bool,
-) -> Result<(Vec<Told>, Effort, Vec<Notice>), ToolError> {
-    let mut effort = Effort::default();
+) -> Result<(Vec<ExplainedLine>, ReadStats, Vec<Notice>), ToolError> {
+    let mut stats = ReadStats::default();
     let mut notices = Vec::new();
     let mut wanted = vec![query.to_owned()];
     // Tries found: run, and the query's id there.
@@ -298,11 +298,11 @@
     loop {
         let mut keys: Vec<String> = Vec::new();
         for path in files {
-            each_block(
+            for_each_block(
                 path,
                 Pick::Named(&wanted),
                 scan,
-                &mut effort,
+                &mut stats,
                 &mut notices,
                 &mut |reader, record| {
                     let source = &reader.sources[record.source as usize];
@@ -330,15 +330,15 @@
     let mut told: BTreeMap<(i64, String, u64, u64, usize), Line> = BTreeMap::new();
     if !ids.is_empty() {
         for path in files {
-            let mut tellers: BTreeMap<u32, Teller> = BTreeMap::new();
+            let mut describers: BTreeMap<u32, Describer> = BTreeMap::new();
             let pick = Pick::About(&ids);
-            each_block(path, pick, scan, &mut effort, &mut Vec::new(), &mut |reader, record| {
+            for_each_block(path, pick, scan, &mut stats, &mut Vec::new(), &mut |reader, record| {
                 let source = &reader.sources[record.source as usize];
                 let Some(own) = tries.get(&(source.broker.clone(), source.run)) else { return };
-                let teller = tellers.entry(record.source).or_default();
-                teller.see(record);
+                let describer = describers.entry(record.source).or_default();
+                describer.observe(record);
                 let about = |id: &QueryId| own.contains(id);
-                let tracker = teller.tracker();
+                let tracker = describer.tracker();
                 let touched = record.events.iter().filter_map(|event| query_of_event(tracker, event));
                 let decided = record.actions.iter().filter_map(|action| query_of_action(tracker, action));
                 let touched = touched.chain(decided).any(|id| about(&id));
@@ -346,7 +346,7 @@
                     return;
                 }
                 let unix = source.unix(record.time);
-                for (index, line) in teller.lines(record, source, reader.servers).into_iter().enumerate() {
+                for (index, line) in describer.lines(record, source, reader.servers).into_iter().enumerate() {
                     if line.query.as_ref().is_some_and(about) {
                         let at = (unix, source.broker.clone(), source.run, record.sequence, index);
                         told.insert(at, line);
@@ -355,7 +355,7 @@
             })?;
         }
     }
-    let told = told.into_iter().map(|((unix, broker, run, sequence, index), line)| Told {
+    let told = told.into_iter().map(|((unix, broker, run, sequence, index), line)| ExplainedLine {
         unix,
         broker,
         run,
@@ -363,7 +363,7 @@
         index,
         line,
     });
-    Ok((told.collect(), effort, notices))
+    Ok((told.collect(), stats, notices))
 }
 
 /// Which blocks are wanted.
@@ -378,11 +378,11 @@
     servers: &'a Servers,
 }
 
-fn each_block(
+fn for_each_block(
     path: &Path,
     pick: Pick,
     scan: bool,
-    effort: &mut Effort,
+    stats: &mut ReadStats,
     notices: &mut Vec<Notice>,
     take: &mut dyn FnMut(&Context, &Record),
 ) -> Result<(), ToolError> {
@@ -391,7 +391,7 @@
     let sources = reader.header().sources.clone();
     let index = if scan { None } else { reader.index().map_err(lost)? };
     let mut each = |reader: &Reader<_>, records: Vec<Record>| {
-        effort.blocks += 1;
+        stats.blocks += 1;
         let context = Context { sources: &sources, servers: reader.servers() };
         records.iter().for_each(|record| take(&context, record));
     };
@@ -410,7 +410,7 @@
         while let Some(records) = reader.next_block().map_err(lost)? {
             each(&reader, records);
         }
-        effort.scanned += 1;
+        stats.scanned_files += 1;
     }
     for message in reader.faults() {
         let notice = Notice { path: path.to_owned(), message };
--- a/src/bin/badgergauge/trace.rs
+++ b/src/bin/badgergauge/trace.rs
@@ -7,12 +7,12 @@
 
 use badgergauge_synth::Plan;
 use badgergauge_trace::align::Offset;
+use badgergauge_trace::describe::{Describer, Line, REASONS};
 use badgergauge_trace::mask::Mask;
 use badgergauge_trace::merge::{MergedStream, Notice, open, run_name, trace_files};
 use badgergauge_trace::read::End;
 use badgergauge_trace::record::server_name;
-use badgergauge_trace::story::{Line, REASONS, Teller};
-use badgergauge_trace::summary::{Summary, Summing};
+use badgergauge_trace::summary::{Summary, SummaryBuilder};
 use badgergauge_trace::tools::{self, ToolError};
 use badgergauge_trace::{Record, Source};
 use clap::{Args, Subcommand, ValueEnum};
@@ -308,7 +308,7 @@
 }
 
 fn unfit(fault: String) -> Stop {
-    Stop::Tool(ToolError::Unfit(fault))
+    Stop::Tool(ToolError::InvalidInput(fault))
 }
 
 fn piped(error: io::Error) -> Stop {
@@ -463,14 +463,14 @@
     {
         return Err(unfit(format!("--class: no broker here has a class {class:?}")));
     }
-    let mut tellers = vec![Teller::default(); sources.len()];
+    let mut describers = vec![Describer::default(); sources.len()];
     let mut queries = std::collections::BTreeSet::new();
     let mut out = BufWriter::new(io::stdout().lock());
     while let Some(record) = merged.next_record()? {
         let source = &sources[record.source as usize];
         let named = record.named.iter().filter(|named| Some(&named.name) == arguments.query.as_ref());
         queries.extend(named.map(|named| (record.source, named.query)));
-        let lines = tellers[record.source as usize].tell(&record, source, merged.servers());
+        let lines = describers[record.source as usize].describe(&record, source, merged.servers());
         for (index, line) in lines.iter().enumerate() {
             let class = |class: &String| line.class.is_some_and(|index| source.class(index) == class);
             let server =
@@ -627,13 +627,13 @@
     let mut merged = all(&arguments.inputs)?;
     let sources = merged.header().sources.clone();
     let bar = Bar::new("summing up");
-    let mut summing = Summing::new(&sources);
-    tools::each_record(&mut merged, &mut |done, all| bar.at(done, all), |_, record| {
-        summing.add(&record, &sources[record.source as usize]);
+    let mut builder = SummaryBuilder::new(&sources);
+    tools::for_each_record(&mut merged, &mut |done, all| bar.at(done, all), |_, record| {
+        builder.add(&record, &sources[record.source as usize]);
         Ok(())
     })?;
     drop(bar);
-    let summary = summing.finish(merged.servers());
+    let summary = builder.finish(merged.servers());
     let mut out = io::stdout().lock();
     match arguments.format {
         Form::Json => {
@@ -748,7 +748,7 @@
 
 fn explain(arguments: &Explain) -> Result<u8, Stop> {
     let files = trace_files(&arguments.inputs.inputs)?;
-    let (told, effort, notices) = tools::explain(&files, &arguments.query, arguments.scan)?;
+    let (told, stats, notices) = tools::explain(&files, &arguments.query, arguments.scan)?;
     if told.is_empty() {
         say(&notices);
         return Err(unfit(format!("no query of the name or key {:?} is on record", arguments.query)));
@@ -761,7 +761,7 @@
         print_line(&mut out, &record, &source, one.index, &one.line, arguments.json).map_err(piped)?;
     }
     out.flush().map_err(piped)?;
-    tracing::debug!("{} blocks read, {} files without an index", effort.blocks, effort.scanned);
+    tracing::debug!("{} blocks read, {} files without an index", stats.blocks, stats.scanned_files);
     Ok(say(&notices))
 }
 
@@ -788,10 +788,10 @@
     let name = run_name(&run.source);
     println!("first difference: {name}, step {}, action {}, at {at}", first.sequence, first.index);
     println!("  query: {}", first.query.as_deref().unwrap_or("of none, or not known"));
-    let teller = Teller::default();
+    let describer = Describer::default();
     for (what, action) in [("recorded", &first.recorded), ("this build", &first.decided)] {
         let said =
-            action.as_ref().map_or_else(|| "nothing more".to_owned(), |a| teller.action(a, &servers).0);
+            action.as_ref().map_or_else(|| "nothing more".to_owned(), |a| describer.action(a, &servers).0);
         println!("  {what}: {said}");
     }
     Ok(REFUSED)
