--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -1,4 +1,4 @@
-//! Whether this build decides as the one that wrote a trace. No I/O.
+//! Replays a recorded run and compares the decisions of this build with the recorded ones. No I/O.
 
 use std::fmt;
 
@@ -8,28 +8,30 @@
 use crate::record::{Record, Source};
 use crate::track::{QueryTracker, query_of_action};
 
-/// Why a run can't be replayed, or not from here on.
+/// Why a run, or the rest of it, cannot be replayed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Unverifiable {
-    /// The trace holds no settings, or none that this build takes.
+    /// The trace has no settings, or this build does not accept them.
     Settings(String),
-    /// The settings are not those that the digest was made of.
+    /// The settings do not match the recorded digest.
     Digest,
-    /// Keys were replaced, and the choice of the home replica hangs on them.
+    /// Route keys were replaced by masking, and the choice of the home replica depends on them.
     Masked,
-    /// Only a share of the queries is on record.
+    /// Only a sample of the queries was recorded.
     Sampled,
-    /// Steps are missing, the first and the last of them.
+    /// Steps are missing: the first and the last missing sequence number.
     Missing(u64, u64),
 }
 
 impl fmt::Display for Unverifiable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unverifiable::Settings(fault) => write!(f, "its settings can't be used: {fault}"),
-            Unverifiable::Digest => f.write_str("its settings are not those that the broker ran by"),
-            Unverifiable::Masked => f.write_str("its keys are masked, and the home replica hangs on them"),
-            Unverifiable::Sampled => f.write_str("only a sample of the queries is on record"),
+            Unverifiable::Settings(fault) => write!(f, "its settings cannot be used: {fault}"),
+            Unverifiable::Digest => f.write_str("its settings do not match the recorded settings digest"),
+            Unverifiable::Masked => {
+                f.write_str("its route keys are masked, and the choice of the home replica depends on them")
+            }
+            Unverifiable::Sampled => f.write_str("only a sample of the queries was recorded"),
             Unverifiable::Missing(first, last) => write!(f, "steps {first} to {last} are missing"),
         }
     }
@@ -37,39 +39,41 @@
 
 impl std::error::Error for Unverifiable {}
 
-/// The first decision that this build takes otherwise.
+/// The first action in which this build differs from the recording.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// The step.
+    /// Sequence number of the step.
     pub sequence: u64,
-    /// When it was.
+    /// Time of the step on the broker's clock.
     pub time: Time,
-    /// Which of its actions.
+    /// Index of the action in the step.
     pub index: usize,
-    /// What is on record; none where there is nothing more.
+    /// The recorded action; `None` where the recording has fewer actions.
     pub recorded: Option<Action>,
-    /// What this build decides.
+    /// The action of this build; `None` where it decides fewer actions.
     pub decided: Option<Action>,
-    /// The name of the query that it is about.
+    /// External name of the query that the action concerns, if known.
     pub query: Option<String>,
 }
 
-/// One run's decisions, made once more.
+/// Replays the steps of one run.
 pub struct Replay {
     router: Router,
+    /// Sequence number of the next step.
     next: u64,
     tracker: QueryTracker,
+    /// External names of open queries, by query id.
     names: std::collections::BTreeMap<u64, String>,
     actions: Vec<Action>,
     decisions: u64,
 }
 
 impl Replay {
-    /// For a run from its first step on.
+    /// Prepares the replay of a run from its first step.
     ///
     /// # Errors
     ///
-    /// When that can't be.
+    /// When the run is masked or sampled, or its settings are unusable or do not match their digest.
     pub fn new(source: &Source, masked: bool) -> Result<Self, Unverifiable> {
         if masked {
             return Err(Unverifiable::Masked);
@@ -80,10 +84,11 @@
         if Source::digest(&source.settings) != source.settings_digest {
             return Err(Unverifiable::Digest);
         }
-        let unfit = |fault: String| Unverifiable::Settings(fault);
-        let json = serde_json::from_str(&source.settings).map_err(|error| unfit(error.to_string()))?;
-        let settings = SiteSettings::read(&json).map_err(|error| unfit(error.to_string()))?;
-        let router = Router::new(settings.module, source.seed).map_err(|error| unfit(error.to_string()))?;
+        let unusable = |fault: String| Unverifiable::Settings(fault);
+        let json = serde_json::from_str(&source.settings).map_err(|error| unusable(error.to_string()))?;
+        let settings = SiteSettings::read(&json).map_err(|error| unusable(error.to_string()))?;
+        let router =
+            Router::new(settings.module, source.seed).map_err(|error| unusable(error.to_string()))?;
         Ok(Replay {
             router,
             next: 1,
@@ -94,16 +99,17 @@
         })
     }
 
-    /// Decisions that were the same so far.
+    /// The number of actions that were the same so far.
     pub fn decisions(&self) -> u64 {
         self.decisions
     }
 
-    /// Makes a step's decisions once more. With `reasons`, the reasons given must agree too.
+    /// Replays a step and returns the first difference, if any. With `reasons`, the reasons of the actions are
+    /// compared too.
     ///
     /// # Errors
     ///
-    /// When steps are missing before it.
+    /// When steps before this one are missing.
     pub fn step(&mut self, record: &Record, reasons: bool) -> Result<Option<Difference>, Unverifiable> {
         if record.sequence != self.next {
             return Err(Unverifiable::Missing(self.next, record.sequence.saturating_sub(1)));
@@ -117,11 +123,12 @@
         }
         self.names.extend(record.named.iter().map(|named| (named.query.0, named.name.clone())));
         self.actions.clear();
-        // A note at the broker's end comes without a step of the module's.
+        // The note that a broker records when it stops is not a step of the decision module.
         if !record.events.is_empty() || !record.actions.is_empty() {
             self.router.step(record.time, &record.events, &mut self.actions);
         }
-        let same = |a: &Action, b: &Action| if reasons { a == b } else { bare(a) == bare(b) };
+        let same =
+            |a: &Action, b: &Action| if reasons { a == b } else { without_reason(a) == without_reason(b) };
         let length = record.actions.len().max(self.actions.len());
         let differs = |index: &usize| match (record.actions.get(*index), self.actions.get(*index)) {
             (Some(a), Some(b)) => !same(a, b),
@@ -140,20 +147,20 @@
             return Ok(None);
         };
         let (recorded, decided) = (record.actions.get(index).cloned(), self.actions.get(index).cloned());
-        let about = recorded.iter().chain(&decided).find_map(|a| query_of_action(&self.tracker, a));
+        let query = recorded.iter().chain(&decided).find_map(|a| query_of_action(&self.tracker, a));
         Ok(Some(Difference {
             sequence: record.sequence,
             time: record.time,
             index,
             recorded,
             decided,
-            query: about.and_then(|query| self.names.get(&query.0).cloned()),
+            query: query.and_then(|query| self.names.get(&query.0).cloned()),
         }))
     }
 }
 
-/// An action without its reason.
-fn bare(action: &Action) -> Action {
+/// The action with its reason replaced by a fixed one, so that only what is decided is compared.
+fn without_reason(action: &Action) -> Action {
     let ending = || Ending { cause: badgergauge_core::Cause::Whole, missing: Vec::new() };
     match action.clone() {
         Action::Send { part, server, time_out, .. } => {
--- a/crates/trace/src/sample.rs
+++ b/crates/trace/src/sample.rs
@@ -1,11 +1,11 @@
-//! Which queries are on record where a share of a class is enough. No I/O.
+//! Samples records: keeps a configured share of each class's queries. No I/O.
 
 use badgergauge_core::{Event, QueryId};
 
 use crate::record::Record;
 use crate::track::{QueryTracker, query_of_action, query_of_event};
 
-/// Leaves out what is about queries that are not in the sample.
+/// Removes the events and actions of queries that are not in the sample.
 #[derive(Clone, Debug)]
 pub struct Sampler {
     shares: Vec<f64>,
@@ -13,12 +13,12 @@
 }
 
 impl Sampler {
-    /// With the share of each class's queries that is kept.
+    /// Creates a sampler; `shares` holds, by class, the share of its queries to keep (0 to 1).
     pub fn new(shares: Vec<f64>) -> Self {
         Sampler { shares, tracker: QueryTracker::default() }
     }
 
-    /// Whether nothing is left out.
+    /// Whether the queries of all classes are kept.
     pub fn keeps_all(&self) -> bool {
         self.shares.iter().all(|share| *share >= 1.0)
     }
@@ -26,12 +26,12 @@
     fn keeps(&self, query: QueryId) -> bool {
         let class = self.tracker.query(query).map(|tracked| tracked.class);
         let share = class.and_then(|class| self.shares.get(class)).copied().unwrap_or(1.0);
-        // Mixed as ids are numbers in a row.
+        // Query ids are consecutive, so they are hashed first.
         let mixed = (query.0 ^ (query.0 >> 33)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         share >= 1.0 || ((mixed ^ (mixed >> 29)) as u32 as f64) < share * f64::from(u32::MAX)
     }
 
-    /// Leaves out of a record what is not in the sample. Gives whether anything is left.
+    /// Removes from a record what is not in the sample. Returns whether anything is left to record.
     pub fn apply(&mut self, record: &mut Record) -> bool {
         if self.keeps_all() {
             return true;
@@ -42,7 +42,7 @@
         record.events.retain(event);
         record.actions.retain(|a| query_of_action(&self.tracker, a).is_none_or(|query| self.keeps(query)));
         record.named.retain(|named| self.keeps(named.query));
-        // Timers are of use to a replay alone, which a sample can't give.
+        // Timers are only needed for a replay, which is impossible from a sample.
         record.events.retain(|event| !matches!(event, Event::Timer(_)));
         record.actions.retain(|action| !matches!(action, badgergauge_core::Action::SetTimer { .. }));
         !(record.events.is_empty()
@@ -83,7 +83,7 @@
     }
 
     #[test]
-    fn a_class_is_thinned_by_whole_queries_and_others_stay() {
+    fn sampling_keeps_or_drops_whole_queries_of_the_sampled_class_only() {
         let mut sampler = Sampler::new(vec![0.25, 1.0]);
         let mut kept = [0, 0];
         for number in 0..4000 {
@@ -95,7 +95,7 @@
         }
         assert_eq!(kept[1], 2000);
         assert!((400..=600).contains(&kept[0]), "{kept:?}");
-        // What comes late of a query goes the way of its beginning.
+        // Later events of a query are kept exactly if its first record was.
         let mut late = Record::default();
         let outcome = |part: u64| Event::Outcome {
             part: PartId(part),
--- a/crates/trace/src/track.rs
+++ b/crates/trace/src/track.rs
@@ -1,50 +1,52 @@
-//! Which query a part belongs to, from its id alone: a broker numbers a query and then its parts in a row.
-//! Kept while outcomes may still come, and no longer.
+//! Maps parts to their queries by id: a broker assigns consecutive ids to a query and then to its parts.
+//! Queries are kept as long as outcomes of their parts may still be recorded.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use badgergauge_core::{Event, PartId, QueryId, Time};
 
-/// So long after a query's time is up something of it may still be heard.
-const AFTER: Duration = Duration::from_secs(60);
-/// Queries that are kept at the most: whatever a file says, memory is bounded.
-const MOST: usize = 1 << 16;
+/// How long after a query's deadline outcomes of its parts may still be recorded.
+const RETENTION_AFTER_DEADLINE: Duration = Duration::from_secs(60);
+/// Limit on the queries kept, so that memory is bounded whatever a file contains.
+const MAX_QUERIES: usize = 1 << 16;
 
-/// What is known of a query.
+/// A query known to a [`QueryTracker`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrackedQuery {
-    /// Its id.
+    /// The query's id.
     pub query: QueryId,
-    /// Its class.
+    /// Index of its class.
     pub class: usize,
-    /// When it was taken.
+    /// When it was accepted, on the broker's clock.
     pub taken: Time,
-    /// Its parts' shards, in order: part `i` has the id after the query's and `i` more.
+    /// The shards of its parts, in order: part `i` has the query's id plus `1 + i`.
     pub shards: Vec<u32>,
 }
 
-/// The queries of one run that something may still be heard of.
+/// The queries of one run for which events may still be recorded.
 #[derive(Clone, Debug, Default)]
 pub struct QueryTracker {
     queries: BTreeMap<u64, TrackedQuery>,
-    /// When each may be forgotten, in the order taken.
-    until: VecDeque<(Time, u64)>,
+    /// When each query may be dropped, in the order of their acceptance.
+    expiries: VecDeque<(Time, u64)>,
 }
 
 impl QueryTracker {
-    /// Takes note of a query or a part.
+    /// Records a query or a part; other events are ignored.
     pub fn observe(&mut self, now: Time, event: &Event) {
         match event {
             Event::Query(query) => {
-                while self.until.front().is_some_and(|(until, _)| *until < now) || self.until.len() >= MOST {
-                    let Some((_, id)) = self.until.pop_front() else { break };
+                while self.expiries.front().is_some_and(|(expiry, _)| *expiry < now)
+                    || self.expiries.len() >= MAX_QUERIES
+                {
+                    let Some((_, id)) = self.expiries.pop_front() else { break };
                     self.queries.remove(&id);
                 }
                 let tracked =
                     TrackedQuery { query: query.id, class: query.class, taken: now, shards: Vec::new() };
                 self.queries.insert(query.id.0, tracked);
-                self.until.push_back((now.after(query.left).after(AFTER), query.id.0));
+                self.expiries.push_back((now.after(query.left).after(RETENTION_AFTER_DEADLINE), query.id.0));
             }
             Event::Part(part) => {
                 let last = self.queries.range_mut(..part.id.0).next_back();
@@ -57,7 +59,7 @@
         }
     }
 
-    /// The query of a part.
+    /// The query that a part belongs to.
     pub fn query_of_part(&self, part: PartId) -> Option<&TrackedQuery> {
         let (id, query) = self.queries.range(..part.0).next_back()?;
         (part.0 <= id + query.shards.len() as u64).then_some(query)
@@ -68,14 +70,14 @@
         self.queries.get(&id.0)
     }
 
-    /// The shard that a part asks.
+    /// The shard that a part is sent for.
     pub fn shard_of_part(&self, part: PartId) -> Option<u32> {
         let query = self.query_of_part(part)?;
         query.shards.get((part.0 - query.query.0 - 1) as usize).copied()
     }
 }
 
-/// The query that an event is about, if it is about one.
+/// The query that an event concerns, if any.
 pub fn query_of_event(tracker: &QueryTracker, event: &Event) -> Option<QueryId> {
     match event {
         Event::Query(query) => Some(query.id),
@@ -86,7 +88,7 @@
     }
 }
 
-/// The query that an action is about, if it is about one.
+/// The query that an action concerns, if any.
 pub fn query_of_action(tracker: &QueryTracker, action: &badgergauge_core::Action) -> Option<QueryId> {
     use badgergauge_core::Action;
     match action {
