--- a/src/bin/badgergauge/trace.rs
+++ b/src/bin/badgergauge/trace.rs
@@ -1,4 +1,4 @@
-//! `trace`: the tools that read trace files.
+//! `badgergauge trace`: tools that read, convert and generate trace files.
 
 use std::fs::{self, File};
 use std::io::{self, BufWriter, IsTerminal, Write};
@@ -22,59 +22,60 @@
 
 use crate::{DONE, INCOMPLETE, REFUSED};
 
-/// The tools.
+/// Subcommands of `badgergauge trace`.
 #[derive(Subcommand)]
 pub enum Trace {
-    /// Makes traces of stand-in traffic through the real core, in virtual time; the same seed, the same bytes.
+    /// Generates traces of synthetic traffic through the real decision module in virtual time; the same seed gives
+    /// the same bytes.
     #[command(
         after_help = "Example:\n  badgergauge trace synth --duration 1h --brokers 3 --seed 7 --skew 5ms \
         --out hour"
     )]
     Synth(Synth),
-    /// Says what files hold: whose records, when, how many, and whether anything is wrong.
+    /// Shows the contents of trace files: brokers and runs, time ranges, number of records, and any damage.
     #[command(after_help = "Example:\n  badgergauge trace info hour/*.bgt")]
     Info(Inputs),
-    /// Prints every event and decision, one a line, with the reasons.
+    /// Prints every event and decision with its reasons, one per line.
     #[command(
         after_help = "Example:\n  badgergauge trace cat hour --class title-flag --reason draining --json"
     )]
     Cat(Cat),
-    /// Writes what lies in a window of time into one file.
+    /// Writes the steps in a time window into one file.
     #[command(
         after_help = "Example:\n  badgergauge trace cut hour --from +10m --to +12m --out incident.bgt\n\n\
-        A time is like 2026-11-27T08:10:00Z, or like +90s: so long after the first step. The window holds its \
-        beginning and not its end, so that windows in a row hold every step once."
+        A time is absolute (2026-11-27T08:10:00Z) or relative to the first step (+90s). The window includes its \
+        start and excludes its end, so that consecutive windows contain every step once."
     )]
     Cut(Cut),
-    /// Puts the traces of several brokers together, in the order of time, with their clocks put right.
+    /// Merges the traces of several brokers into one file in order of time, corrected for clock offsets.
     #[command(
         after_help = "Example:\n  badgergauge trace merge n0/ n1/ n2/ --out all.bgt\n  badgergauge trace \
         merge a.bgt b.bgt --offset n1=-4ms --out all.bgt"
     )]
     Merge(Merge),
-    /// Writes files again with title numbers and idempotency keys replaced by stand-in values.
+    /// Copies trace files with route keys and idempotency keys replaced by pseudonyms.
     #[command(after_help = "Example:\n  head -c 32 /dev/urandom > mask.key\n  badgergauge trace mask hour \
         --key-file mask.key --out masked")]
     Mask(MaskArguments),
-    /// Sums up service by class and by server.
+    /// Summarises service by class and by server.
     #[command(after_help = "Example:\n  badgergauge trace summary hour --format csv")]
     Summary(SummaryArguments),
-    /// Tells the whole story of one query, every try at every broker.
+    /// Prints all events and decisions of one query: every try at every broker.
     #[command(after_help = "Example:\n  badgergauge trace explain 9b1f03aa5c7e2d41 hour")]
     Explain(Explain),
-    /// Makes every decision once more with this build, and says the first that differs.
+    /// Replays traces with this build and reports the first decision that differs.
     #[command(after_help = "Example:\n  badgergauge trace verify hour\n\nExit codes: 0 no difference, 1 a \
-        difference, 3 not all could be verified.")]
+        difference, 3 not everything could be verified.")]
     Verify(Verify),
-    /// Writes a sound file from one that was cut short or damaged.
+    /// Copies the intact blocks of a truncated or damaged file into a new, valid one.
     #[command(after_help = "Example:\n  badgergauge trace repair broken.bgt --out sound.bgt")]
     Repair(Repair),
 }
 
-/// Files to read.
+/// Input files.
 #[derive(Args)]
 pub struct Inputs {
-    /// Trace files, or folders of them.
+    /// Trace files, or folders that contain some.
     #[arg(required = true)]
     inputs: Vec<PathBuf>,
 }
@@ -82,28 +83,28 @@
 /// See [`Trace::Synth`].
 #[derive(Args)]
 pub struct Synth {
-    /// How long, in virtual time.
-    #[arg(long, value_parser = span, default_value = "1m")]
+    /// Duration in virtual time.
+    #[arg(long, value_parser = parse_duration, default_value = "1m")]
     duration: Duration,
-    /// Brokers.
+    /// Number of brokers.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=64))]
     brokers: u8,
-    /// Tile servers.
+    /// Number of tile servers.
     #[arg(long, default_value_t = 14, value_parser = clap::value_parser!(u8).range(4..=64))]
     servers: u8,
-    /// Queries a second, at all brokers together.
+    /// Queries per second, over all brokers.
     #[arg(long, default_value_t = 130.0)]
     rate: f64,
-    /// What chance is drawn from.
+    /// Seed of the random number generator.
     #[arg(long, default_value_t = 7)]
     seed: u64,
-    /// How far brokers' clocks are off at the most.
-    #[arg(long, value_parser = span, default_value = "5ms")]
+    /// Maximum clock skew of a broker.
+    #[arg(long, value_parser = parse_duration, default_value = "5ms")]
     skew: Duration,
-    /// From one trouble to the next; 0s for none.
-    #[arg(long, value_parser = span, default_value = "45s")]
+    /// Interval between injected faults; 0s for none.
+    #[arg(long, value_parser = parse_duration, default_value = "45s")]
     trouble_every: Duration,
-    /// The folder to write to; made if it is missing.
+    /// Output folder; created if missing.
     #[arg(long)]
     out: PathBuf,
 }
@@ -113,19 +114,19 @@
 pub struct Cat {
     #[command(flatten)]
     inputs: Inputs,
-    /// JSON lines in place of text.
+    /// Print JSON lines instead of text.
     #[arg(long)]
     json: bool,
-    /// Only what is about queries of this class.
+    /// Print only lines that concern queries of this class.
     #[arg(long)]
     class: Option<String>,
-    /// Only what names this server.
+    /// Print only lines that concern this server.
     #[arg(long)]
     server: Option<String>,
-    /// Only what is about the query of this name.
+    /// Print only lines that concern the query of this name.
     #[arg(long)]
     query: Option<String>,
-    /// Only decisions for this reason.
+    /// Print only lines with this reason.
     #[arg(long, value_parser = clap::builder::PossibleValuesParser::new(REASONS))]
     reason: Option<String>,
 }
@@ -135,13 +136,13 @@
 pub struct Cut {
     #[command(flatten)]
     inputs: Inputs,
-    /// From this time on.
+    /// Start of the window, inclusive.
     #[arg(long, allow_hyphen_values = true)]
     from: Option<String>,
-    /// Up to this time.
+    /// End of the window, exclusive.
     #[arg(long)]
     to: Option<String>,
-    /// The file to write; it must not be there.
+    /// Output file; must not exist.
     #[arg(long)]
     out: PathBuf,
 }
@@ -151,13 +152,13 @@
 pub struct Merge {
     #[command(flatten)]
     inputs: Inputs,
-    /// What to add to a broker's times, in place of the estimate: BROKER=5ms.
-    #[arg(long, value_parser = offset, allow_hyphen_values = true)]
+    /// Offset to add to a broker's times instead of the estimated one: BROKER=5ms.
+    #[arg(long, value_parser = parse_offset, allow_hyphen_values = true)]
     offset: Vec<(String, i64)>,
-    /// Leave the clocks as they are, but for what `--offset` says.
+    /// Do not estimate clock offsets; apply only those given by `--offset`.
     #[arg(long)]
     no_align: bool,
-    /// The file to write; it must not be there.
+    /// Output file; must not exist.
     #[arg(long)]
     out: PathBuf,
 }
@@ -167,22 +168,22 @@
 pub struct MaskArguments {
     #[command(flatten)]
     inputs: Inputs,
-    /// The file with the secret: the same one gives the same stand-ins.
+    /// File with the secret key, at least 16 bytes; the same key gives the same pseudonyms.
     #[arg(long)]
     key_file: PathBuf,
-    /// The folder to write to, each file under its own name; made if it is missing.
+    /// Output folder, created if missing; files keep their names.
     #[arg(long)]
     out: PathBuf,
 }
 
-/// Forms of a summary.
+/// Output formats of a summary.
 #[derive(Clone, Copy, ValueEnum)]
-pub enum Form {
-    /// Columns to read.
+pub enum SummaryFormat {
+    /// Aligned columns.
     Table,
-    /// One object.
+    /// One JSON object.
     Json,
-    /// Comma-separated, the classes and then the servers.
+    /// Comma-separated values: the classes, an empty line, then the servers.
     Csv,
 }
 
@@ -191,9 +192,9 @@
 pub struct SummaryArguments {
     #[command(flatten)]
     inputs: Inputs,
-    /// What to print.
+    /// Output format.
     #[arg(long, value_enum, default_value = "table")]
-    format: Form,
+    format: SummaryFormat,
 }
 
 /// See [`Trace::Explain`].
@@ -203,10 +204,10 @@
     query: String,
     #[command(flatten)]
     inputs: Inputs,
-    /// JSON lines in place of text.
+    /// Print JSON lines instead of text.
     #[arg(long)]
     json: bool,
-    /// Read everything in place of the indexes.
+    /// Read all blocks instead of using the indexes.
     #[arg(long)]
     scan: bool,
 }
@@ -216,7 +217,7 @@
 pub struct Verify {
     #[command(flatten)]
     inputs: Inputs,
-    /// The reasons must agree too.
+    /// Compare the reasons of the decisions too.
     #[arg(long)]
     reasons: bool,
 }
@@ -224,15 +225,15 @@
 /// See [`Trace::Repair`].
 #[derive(Args)]
 pub struct Repair {
-    /// The file to read.
+    /// Input file.
     input: PathBuf,
-    /// The file to write; it must not be there.
+    /// Output file; must not exist.
     #[arg(long)]
     out: PathBuf,
 }
 
-/// A span such as 5ms, 90s, 12m or 1h.
-fn span(text: &str) -> Result<Duration, String> {
+/// Parses a duration such as 5ms, 90s, 12m or 1h.
+fn parse_duration(text: &str) -> Result<Duration, String> {
     let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let (number, unit) = text.split_at(digits);
     let seconds = match unit {
@@ -241,54 +242,56 @@
         "s" => 1.0,
         "m" => 60.0,
         "h" => 3600.0,
-        _ => return Err(format!("{text:?} is no span such as 5ms, 90s, 12m or 1h")),
+        _ => return Err(format!("{text:?} is not a duration such as 5ms, 90s, 12m or 1h")),
     };
-    let number: f64 = number.parse().map_err(|_| format!("{text:?} begins with no number"))?;
+    let number: f64 = number.parse().map_err(|_| format!("{text:?} does not start with a number"))?;
     Duration::try_from_secs_f64(number * seconds).map_err(|error| format!("{text:?}: {error}"))
 }
 
-/// `BROKER=5ms` or `BROKER=-5ms`.
-fn offset(text: &str) -> Result<(String, i64), String> {
-    let (broker, value) = text.split_once('=').ok_or("must be BROKER=SPAN")?;
+/// Parses a clock offset, `BROKER=5ms` or `BROKER=-5ms`, to the broker's name and nanoseconds.
+fn parse_offset(text: &str) -> Result<(String, i64), String> {
+    let (broker, value) = text.split_once('=').ok_or("must be BROKER=DURATION")?;
     let (sign, value) = value.strip_prefix('-').map_or((1, value), |value| (-1, value));
-    let nanos = i64::try_from(span(value)?.as_nanos()).map_err(|_| "is too long")?;
+    let nanos = i64::try_from(parse_duration(value)?.as_nanos()).map_err(|_| "is too long")?;
     Ok((broker.to_owned(), sign * nanos))
 }
 
-/// A time in Unix nanoseconds, absolute or from `start` on.
-fn moment(text: &str, start: i64) -> Result<i64, String> {
+/// Parses a time, absolute or relative to `start`, to Unix nanoseconds.
+fn parse_time(text: &str, start: i64) -> Result<i64, String> {
     if let Some(after) = text.strip_prefix('+') {
-        return Ok(start.saturating_add(i64::try_from(span(after)?.as_nanos()).unwrap_or(i64::MAX)));
+        let nanos = i64::try_from(parse_duration(after)?.as_nanos()).unwrap_or(i64::MAX);
+        return Ok(start.saturating_add(nanos));
     }
-    let at: Timestamp = text.parse().map_err(|error| format!("{text:?} is no time: {error}"))?;
+    let at: Timestamp = text.parse().map_err(|error| format!("{text:?} is not a valid time: {error}"))?;
     i64::try_from(at.as_nanosecond()).map_err(|_| format!("{text:?} is out of range"))
 }
 
-fn shown(unix: i64) -> String {
+/// Formats a time in Unix nanoseconds with microsecond precision.
+fn format_time(unix: i64) -> String {
     Timestamp::from_nanosecond(i128::from(unix)).map_or_else(|_| unix.to_string(), |at| format!("{at:.6}"))
 }
 
-/// Progress on a terminal, and none in a pipe.
-struct Bar(ProgressBar);
+/// A progress bar on standard error; hidden if that is not a terminal.
+struct Progress(ProgressBar);
 
-impl Bar {
-    fn new(what: &'static str) -> Self {
+impl Progress {
+    fn new(message: &'static str) -> Self {
         if !io::stderr().is_terminal() {
-            return Bar(ProgressBar::hidden());
+            return Progress(ProgressBar::hidden());
         }
-        let bar = ProgressBar::new(0).with_message(what);
+        let bar = ProgressBar::new(0).with_message(message);
         let style = ProgressStyle::with_template("{msg} {wide_bar} {bytes}/{total_bytes} {eta}");
         bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-        Bar(bar)
+        Progress(bar)
     }
 
-    fn at(&self, done: u64, all: u64) {
-        self.0.set_length(all);
+    fn update(&self, done: u64, total: u64) {
+        self.0.set_length(total);
         self.0.set_position(done);
     }
 }
 
-impl Drop for Bar {
+impl Drop for Progress {
     fn drop(&mut self) {
         self.0.finish_and_clear();
     }
@@ -296,29 +299,31 @@
 
 /// Why a tool ends early.
 enum Stop {
-    Tool(ToolError),
-    /// Whoever reads standard output has had enough.
-    Pipe,
+    /// It failed.
+    Error(ToolError),
+    /// The reader of standard output closed the pipe.
+    BrokenPipe,
 }
 
 impl<E: Into<ToolError>> From<E> for Stop {
     fn from(error: E) -> Self {
-        Stop::Tool(error.into())
+        Stop::Error(error.into())
     }
 }
 
-fn unfit(fault: String) -> Stop {
-    Stop::Tool(ToolError::InvalidInput(fault))
+fn invalid_input(fault: String) -> Stop {
+    Stop::Error(ToolError::InvalidInput(fault))
 }
 
-fn piped(error: io::Error) -> Stop {
+/// Maps an error of writing to standard output.
+fn stdout_error(error: io::Error) -> Stop {
     match error.kind() {
-        io::ErrorKind::BrokenPipe => Stop::Pipe,
-        _ => Stop::Tool(ToolError::Write("standard output".into(), error)),
+        io::ErrorKind::BrokenPipe => Stop::BrokenPipe,
+        _ => Stop::Error(ToolError::Write("standard output".into(), error)),
     }
 }
 
-/// Runs a tool.
+/// Runs a tool and returns the exit code.
 pub fn run(tool: Trace) -> u8 {
     let done = match tool {
         Trace::Synth(arguments) => synth(&arguments),
@@ -334,20 +339,21 @@
     };
     match done {
         Ok(code) => code,
-        Err(Stop::Pipe) => DONE,
-        Err(Stop::Tool(error)) => {
+        Err(Stop::BrokenPipe) => DONE,
+        Err(Stop::Error(error)) => {
             eprintln!("badgergauge: trace: {error}");
             REFUSED
         }
     }
 }
 
-/// Says what was found out about the files; a result that lacks something for it is incomplete.
-fn say(notices: &[Notice]) -> u8 {
+/// Prints the problems found in the input files to standard error. Returns the exit code: [`INCOMPLETE`] if the
+/// result may lack records because of one.
+fn report_notices(notices: &[Notice]) -> u8 {
     let mut code = DONE;
     for Notice { path, message } in notices {
         eprintln!("badgergauge: trace: {}: {message}", path.display());
-        // An index that is missing costs time alone.
+        // Without an index, reading is slower but complete.
         if *message != End::Open.to_string() {
             code = INCOMPLETE;
         }
@@ -356,11 +362,11 @@
 }
 
 fn synth(arguments: &Synth) -> Result<u8, Stop> {
-    let folder = |error| ToolError::Write(arguments.out.clone(), error);
+    let write_error = |error| ToolError::Write(arguments.out.clone(), error);
     if !(arguments.rate > 0.0 && arguments.rate <= 10_000.0) {
-        return Err(unfit("--rate: must be above 0 and 10000 at the most".into()));
+        return Err(invalid_input("--rate: must be greater than 0 and at most 10000".into()));
     }
-    fs::create_dir_all(&arguments.out).map_err(folder)?;
+    fs::create_dir_all(&arguments.out).map_err(write_error)?;
     let plan = Plan {
         duration: arguments.duration,
         brokers: arguments.brokers.into(),
@@ -375,24 +381,35 @@
         let file = File::options().write(true).create_new(true).open(arguments.out.join(name))?;
         Ok(BufWriter::new(file))
     };
-    let made = badgergauge_synth::run(&plan, create).map_err(folder)?;
+    let made = badgergauge_synth::run(&plan, create).map_err(write_error)?;
     let [whole, partial, refused, failed, nobody] = made.ends;
-    let said = json!({"files": made.files, "steps": made.steps, "decisions": made.decisions, "tries": made.tries,
+    let report = json!({"files": made.files, "steps": made.steps, "decisions": made.decisions, "tries": made.tries,
         "whole": whole, "partial": partial, "refused": refused, "failed": failed, "nobody": nobody,
         "skewsNs": made.skews});
-    println!("{said}");
+    println!("{report}");
     Ok(DONE)
 }
 
+/// The steps of one run in a file.
+#[derive(Clone, Copy)]
+struct StepRange {
+    /// Sequence numbers of the first and the last step.
+    first: u64,
+    last: u64,
+    /// Unix times of the earliest and the latest step, in nanoseconds.
+    from: i64,
+    to: i64,
+}
+
 fn info(arguments: &Inputs) -> Result<u8, Stop> {
     let mut code = DONE;
     for path in trace_files(&arguments.inputs)? {
         let mut reader = open(&path)?;
         let (major, minor) = reader.version();
-        let lost = |error| ToolError::Write(path.clone(), error);
-        let indexed = reader.index().map_err(lost)?;
+        let io_error = |error| ToolError::Write(path.clone(), error);
+        let index = reader.index().map_err(io_error)?;
         let mut out = io::stdout().lock();
-        let mut print = |line: String| writeln!(out, "{line}").map_err(piped);
+        let mut print = |line: String| writeln!(out, "{line}").map_err(stdout_error);
         print(format!("{}: version {major}.{minor}, {} bytes", path.display(), reader.length()))?;
         print(format!(
             "  made by {}{}",
@@ -401,44 +418,47 @@
         ))?;
         let (mut steps, mut blocks, mut missing, mut taken) = (0_u64, 0_u64, 0_u64, 0_u64);
         let sources = reader.header().sources.clone();
-        let mut spans: Vec<Option<(u64, u64, i64, i64)>> = vec![None; sources.len()];
-        while let Some(records) = reader.next_block().map_err(lost)? {
+        let mut ranges: Vec<Option<StepRange>> = vec![None; sources.len()];
+        while let Some(records) = reader.next_block().map_err(io_error)? {
             blocks += 1;
             for record in records {
                 steps += 1;
                 taken += record.named.len() as u64;
                 missing += record.gap.as_ref().map_or(0, |gap| gap.last - gap.first + 1);
                 let unix = sources[record.source as usize].unix(record.time);
-                let span = spans[record.source as usize].get_or_insert((
-                    record.sequence,
-                    record.sequence,
-                    unix,
-                    unix,
-                ));
-                *span = (
-                    span.0.min(record.sequence),
-                    span.1.max(record.sequence),
-                    span.2.min(unix),
-                    span.3.max(unix),
-                );
+                let range = ranges[record.source as usize].get_or_insert(StepRange {
+                    first: record.sequence,
+                    last: record.sequence,
+                    from: unix,
+                    to: unix,
+                });
+                *range = StepRange {
+                    first: range.first.min(record.sequence),
+                    last: range.last.max(record.sequence),
+                    from: range.from.min(unix),
+                    to: range.to.max(unix),
+                };
             }
         }
-        for (source, span) in sources.iter().zip(spans) {
-            let held = span.map_or_else(
+        for (source, range) in sources.iter().zip(ranges) {
+            let steps = range.map_or_else(
                 || "no steps".to_owned(),
-                |(first, last, from, to)| {
-                    format!("steps {first} to {last}, {} to {}", shown(from), shown(to))
+                |StepRange { first, last, from, to }| {
+                    format!("steps {first} to {last}, {} to {}", format_time(from), format_time(to))
                 },
             );
-            let sampled = if source.is_whole() { "" } else { ", a sample" };
-            let moved =
-                if source.moved == 0 { String::new() } else { format!(", moved by {} ns", source.moved) };
-            print(format!("  {}: {held}{sampled}{moved}", run_name(source)))?;
+            let sampled = if source.is_whole() { "" } else { ", sampled" };
+            let offset = if source.moved == 0 {
+                String::new()
+            } else {
+                format!(", clock offset {} ns applied", source.moved)
+            };
+            print(format!("  {}: {steps}{sampled}{offset}", run_name(source)))?;
         }
         print(format!(
-            "  {blocks} blocks, {steps} steps, {taken} queries taken, {missing} steps named as missing"
+            "  {blocks} blocks, {steps} steps, {taken} queries taken, {missing} steps recorded as missing"
         ))?;
-        let index = if indexed.is_some() { "indexed" } else { "no index" };
+        let index = if index.is_some() { "indexed" } else { "no index" };
         let end = reader.end().unwrap_or(End::Open);
         print(format!("  {index}, {end}"))?;
         for damage in reader.damage() {
@@ -451,17 +471,18 @@
     Ok(code)
 }
 
-fn all(arguments: &Inputs) -> Result<MergedStream, Stop> {
+/// Opens all input files as one stream, for all times.
+fn open_all(arguments: &Inputs) -> Result<MergedStream, Stop> {
     Ok(MergedStream::open(&trace_files(&arguments.inputs)?, i64::MIN..i64::MAX)?)
 }
 
 fn cat(arguments: &Cat) -> Result<u8, Stop> {
-    let mut merged = all(&arguments.inputs)?;
+    let mut merged = open_all(&arguments.inputs)?;
     let sources = merged.header().sources.clone();
     if let Some(class) = &arguments.class
         && !sources.iter().any(|source| source.classes.contains(class))
     {
-        return Err(unfit(format!("--class: no broker here has a class {class:?}")));
+        return Err(invalid_input(format!("--class: no broker in these files has a class {class:?}")));
     }
     let mut describers = vec![Describer::default(); sources.len()];
     let mut queries = std::collections::BTreeSet::new();
@@ -481,12 +502,12 @@
                     || line.query.is_some_and(|q| queries.contains(&(record.source, q))))
                 && arguments.reason.as_ref().is_none_or(|reason| line.reasons.contains(&reason.as_str()));
             if wanted {
-                print_line(&mut out, &record, source, index, line, arguments.json).map_err(piped)?;
+                print_line(&mut out, &record, source, index, line, arguments.json).map_err(stdout_error)?;
             }
         }
     }
-    out.flush().map_err(piped)?;
-    Ok(say(&merged.notices()))
+    out.flush().map_err(stdout_error)?;
+    Ok(report_notices(&merged.notices()))
 }
 
 fn print_line(
@@ -497,7 +518,7 @@
     line: &Line,
     as_json: bool,
 ) -> io::Result<()> {
-    let at = shown(source.unix(record.time));
+    let at = format_time(source.unix(record.time));
     if as_json {
         let mut json = line.json.clone();
         json["time"] = at.into();
@@ -520,17 +541,21 @@
     } else {
         0
     };
-    let at = |name: &str, text: &Option<String>, open: i64| {
-        let text = text.as_deref().map(|text| moment(text, start));
-        text.transpose().map(|at| at.unwrap_or(open)).map_err(|fault| unfit(format!("--{name}: {fault}")))
+    let bound = |name: &str, text: &Option<String>, default: i64| {
+        let time = text.as_deref().map(|text| parse_time(text, start));
+        time.transpose()
+            .map(|time| time.unwrap_or(default))
+            .map_err(|fault| invalid_input(format!("--{name}: {fault}")))
     };
-    let window = at("from", &arguments.from, i64::MIN)?..at("to", &arguments.to, i64::MAX)?;
-    let bar = Bar::new("cutting");
+    let window = bound("from", &arguments.from, i64::MIN)?..bound("to", &arguments.to, i64::MAX)?;
+    let progress = Progress::new("cutting");
     let written =
-        tools::write_all(MergedStream::open(&files, window)?, &arguments.out, &mut |d, a| bar.at(d, a))?;
-    drop(bar);
+        tools::write_all(MergedStream::open(&files, window)?, &arguments.out, &mut |done, total| {
+            progress.update(done, total)
+        })?;
+    drop(progress);
     println!("{}: {} steps, {} decisions", arguments.out.display(), written.steps, written.decisions);
-    Ok(say(&written.notices))
+    Ok(report_notices(&written.notices))
 }
 
 fn merge(arguments: &Merge) -> Result<u8, Stop> {
@@ -539,32 +564,33 @@
     let sources = merged.header().sources.clone();
     for (broker, _) in &arguments.offset {
         if !sources.iter().any(|source| source.broker == *broker) {
-            return Err(unfit(format!("--offset: there is no broker {broker:?}")));
+            return Err(invalid_input(format!("--offset: no broker {broker:?} in these files")));
         }
     }
     let mut offsets = vec![Offset::default(); sources.len()];
     let mut code = DONE;
     if !arguments.no_align {
-        let bar = Bar::new("comparing clocks");
-        let alignment =
-            tools::align(MergedStream::open(&files, i64::MIN..i64::MAX)?, &mut |d, a| bar.at(d, a))?;
-        drop(bar);
+        let progress = Progress::new("comparing clocks");
+        let alignment = tools::align(MergedStream::open(&files, i64::MIN..i64::MAX)?, &mut |done, total| {
+            progress.update(done, total)
+        })?;
+        drop(progress);
         offsets = alignment.offsets;
-        println!("{} repeats of one broker's clients at another", alignment.retries);
+        println!("{} client retries at another broker", alignment.retries);
         if alignment.causality_violations > 0 {
             code = INCOMPLETE;
             eprintln!(
-                "badgergauge: trace: {} repeats come before what they repeat, whatever the offsets",
+                "badgergauge: trace: {} client retries precede their first tries with any clock offsets",
                 alignment.causality_violations
             );
         }
     }
     for (source, found) in sources.iter().zip(&mut offsets) {
         let given = arguments.offset.iter().rev().find(|(broker, _)| *broker == source.broker);
-        let why = match (given, found.error) {
+        let basis = match (given, found.error) {
             (Some((_, nanos)), _) => {
                 found.nanos = *nanos;
-                "as given".to_owned()
+                "given by --offset".to_owned()
             }
             (None, Some(error)) => {
                 format!(
@@ -573,36 +599,36 @@
                     found.common_versions
                 )
             }
-            (None, None) if found.common_versions > 0 => "the others are measured by it".to_owned(),
-            (None, None) => "nothing to measure it by".to_owned(),
+            (None, None) if found.common_versions > 0 => "reference clock".to_owned(),
+            (None, None) => "no common list versions to estimate from".to_owned(),
         };
-        let repeats = match found.retry_correction {
+        let retries = match found.retry_correction {
             0 => String::new(),
-            by if given.is_none() => format!(", moved by {:.3} ms for repeats", by as f64 / 1e6),
+            nanos if given.is_none() => format!(", {:+.3} ms of it for client retries", nanos as f64 / 1e6),
             _ => String::new(),
         };
-        println!("{}: {:+.3} ms, {why}{repeats}", run_name(source), found.nanos as f64 / 1e6);
+        println!("{}: {:+.3} ms, {basis}{retries}", run_name(source), found.nanos as f64 / 1e6);
     }
     merged.apply_offsets(&offsets.iter().map(|offset| offset.nanos).collect::<Vec<_>>());
-    let bar = Bar::new("merging");
-    let written = tools::write_all(merged, &arguments.out, &mut |d, a| bar.at(d, a))?;
-    drop(bar);
+    let progress = Progress::new("merging");
+    let written = tools::write_all(merged, &arguments.out, &mut |done, total| progress.update(done, total))?;
+    drop(progress);
     println!(
-        "{}: {} steps, {} decisions, {} steps were there more than once",
+        "{}: {} steps, {} decisions, {} duplicate steps dropped",
         arguments.out.display(),
         written.steps,
         written.decisions,
         written.duplicates
     );
-    Ok(code.max(say(&written.notices)))
+    Ok(code.max(report_notices(&written.notices)))
 }
 
 fn mask(arguments: &MaskArguments) -> Result<u8, Stop> {
     let secret = fs::read(&arguments.key_file)
-        .map_err(|error| unfit(format!("--key-file: {}: {error}", arguments.key_file.display())))?;
+        .map_err(|error| invalid_input(format!("--key-file: {}: {error}", arguments.key_file.display())))?;
     if secret.len() < 16 {
-        return Err(unfit(format!(
-            "--key-file: {}: must hold 16 bytes or more",
+        return Err(invalid_input(format!(
+            "--key-file: {}: must contain at least 16 bytes",
             arguments.key_file.display()
         )));
     }
@@ -612,7 +638,7 @@
     for path in trace_files(&arguments.inputs.inputs)? {
         let name = path.file_name().map_or_else(|| Path::new("trace.bgt").into(), PathBuf::from);
         let (written, _) = tools::copy(&path, &arguments.out.join(name), Some(&mask))?;
-        code = code.max(say(&written.notices));
+        code = code.max(report_notices(&written.notices));
     }
     Ok(code)
 }
@@ -620,45 +646,46 @@
 fn repair(arguments: &Repair) -> Result<u8, Stop> {
     let (written, _) = tools::copy(&arguments.input, &arguments.out, None)?;
     println!("{}: {} steps, {} decisions", arguments.out.display(), written.steps, written.decisions);
-    Ok(say(&written.notices))
+    Ok(report_notices(&written.notices))
 }
 
 fn summary(arguments: &SummaryArguments) -> Result<u8, Stop> {
-    let mut merged = all(&arguments.inputs)?;
+    let mut merged = open_all(&arguments.inputs)?;
     let sources = merged.header().sources.clone();
-    let bar = Bar::new("summing up");
+    let progress = Progress::new("summarising");
     let mut builder = SummaryBuilder::new(&sources);
-    tools::for_each_record(&mut merged, &mut |done, all| bar.at(done, all), |_, record| {
+    tools::for_each_record(&mut merged, &mut |done, total| progress.update(done, total), |_, record| {
         builder.add(&record, &sources[record.source as usize]);
         Ok(())
     })?;
-    drop(bar);
+    drop(progress);
     let summary = builder.finish(merged.servers());
     let mut out = io::stdout().lock();
     match arguments.format {
-        Form::Json => {
-            let json = serde_json::to_string_pretty(&summary).map_err(|error| unfit(error.to_string()))?;
-            writeln!(out, "{json}").map_err(piped)?;
+        SummaryFormat::Json => {
+            let json =
+                serde_json::to_string_pretty(&summary).map_err(|error| invalid_input(error.to_string()))?;
+            writeln!(out, "{json}").map_err(stdout_error)?;
         }
-        Form::Csv => csv(&summary, &mut out)?,
-        Form::Table => table(&summary, &mut out).map_err(piped)?,
+        SummaryFormat::Csv => csv(&summary, &mut out)?,
+        SummaryFormat::Table => table(&summary, &mut out).map_err(stdout_error)?,
     }
-    Ok(say(&merged.notices()))
+    Ok(report_notices(&merged.notices()))
 }
 
 fn csv(summary: &Summary, out: &mut impl Write) -> Result<(), Stop> {
     let fault = |error: csv::Error| match error.into_kind() {
-        csv::ErrorKind::Io(error) => piped(error),
-        other => unfit(format!("{other:?}")),
+        csv::ErrorKind::Io(error) => stdout_error(error),
+        other => invalid_input(format!("{other:?}")),
     };
     let mut classes = csv::Writer::from_writer(&mut *out);
     summary.classes.iter().try_for_each(|row| classes.serialize(row)).map_err(fault)?;
-    classes.flush().map_err(piped)?;
+    classes.flush().map_err(stdout_error)?;
     drop(classes);
-    writeln!(out).map_err(piped)?;
+    writeln!(out).map_err(stdout_error)?;
     let mut servers = csv::Writer::from_writer(&mut *out);
     summary.servers.iter().try_for_each(|row| servers.serialize(row)).map_err(fault)?;
-    servers.flush().map_err(piped)
+    servers.flush().map_err(stdout_error)
 }
 
 fn table(summary: &Summary, out: &mut impl Write) -> io::Result<()> {
@@ -705,7 +732,10 @@
             row.max_ms
         )?;
     }
-    writeln!(out, "\nworth is answered over asked, a repeat asking once more; tries are attempts a part\n")?;
+    writeln!(
+        out,
+        "\nworth: share earned of the worth asked for, counting retries again; tries: attempts per part\n"
+    )?;
     writeln!(
         out,
         "{:<24} {:>9} {:>9} {:>8} {:>8} {:>9} {:>8} {:>8} {:>9} {:>8} {:>8}",
@@ -748,51 +778,58 @@
 
 fn explain(arguments: &Explain) -> Result<u8, Stop> {
     let files = trace_files(&arguments.inputs.inputs)?;
-    let (told, stats, notices) = tools::explain(&files, &arguments.query, arguments.scan)?;
-    if told.is_empty() {
-        say(&notices);
-        return Err(unfit(format!("no query of the name or key {:?} is on record", arguments.query)));
+    let (lines, stats, notices) = tools::explain(&files, &arguments.query, arguments.scan)?;
+    if lines.is_empty() {
+        report_notices(&notices);
+        return Err(invalid_input(format!(
+            "no query with the name or idempotency key {:?} found",
+            arguments.query
+        )));
     }
     let mut out = BufWriter::new(io::stdout().lock());
-    for one in &told {
-        let source = Source { broker: one.broker.clone(), run: one.run, ..Source::default() };
-        let time = badgergauge::Time(u64::try_from(one.unix).unwrap_or(0));
-        let record = Record { sequence: one.sequence, time, ..Record::default() };
-        print_line(&mut out, &record, &source, one.index, &one.line, arguments.json).map_err(piped)?;
+    for explained in &lines {
+        let source = Source { broker: explained.broker.clone(), run: explained.run, ..Source::default() };
+        let time = badgergauge::Time(u64::try_from(explained.unix).unwrap_or(0));
+        let record = Record { sequence: explained.sequence, time, ..Record::default() };
+        print_line(&mut out, &record, &source, explained.index, &explained.line, arguments.json)
+            .map_err(stdout_error)?;
     }
-    out.flush().map_err(piped)?;
-    tracing::debug!("{} blocks read, {} files without an index", stats.blocks, stats.scanned_files);
-    Ok(say(&notices))
+    out.flush().map_err(stdout_error)?;
+    tracing::debug!("{} blocks read, {} full reads of files", stats.blocks, stats.scanned_files);
+    Ok(report_notices(&notices))
 }
 
 fn verify(arguments: &Verify) -> Result<u8, Stop> {
-    let bar = Bar::new("deciding once more");
+    let progress = Progress::new("replaying");
     let (runs, notices, servers) =
-        tools::verify(all(&arguments.inputs)?, arguments.reasons, &mut |d, a| bar.at(d, a))?;
-    drop(bar);
-    let mut code = say(&notices);
+        tools::verify(open_all(&arguments.inputs)?, arguments.reasons, &mut |done, total| {
+            progress.update(done, total)
+        })?;
+    drop(progress);
+    let mut code = report_notices(&notices);
     for run in &runs {
         let name = run_name(&run.source);
-        println!("{name}: {} decisions the same", run.decisions);
+        println!("{name}: {} decisions identical", run.decisions);
         if let Some(why) = &run.stopped {
-            println!("{name}: not verified from there on: {why}");
+            println!("{name}: not verified beyond these: {why}");
             code = code.max(INCOMPLETE);
         }
     }
-    // The first of them all, by time.
+    // The earliest difference of all runs.
     let differing = runs.iter().filter_map(|run| Some((run, run.difference.as_ref()?)));
     let Some((run, first)) = differing.min_by_key(|(run, first)| run.source.unix(first.time)) else {
         return Ok(code);
     };
-    let at = shown(run.source.unix(first.time));
+    let at = format_time(run.source.unix(first.time));
     let name = run_name(&run.source);
     println!("first difference: {name}, step {}, action {}, at {at}", first.sequence, first.index);
-    println!("  query: {}", first.query.as_deref().unwrap_or("of none, or not known"));
+    println!("  query: {}", first.query.as_deref().unwrap_or("none or unknown"));
     let describer = Describer::default();
-    for (what, action) in [("recorded", &first.recorded), ("this build", &first.decided)] {
-        let said =
-            action.as_ref().map_or_else(|| "nothing more".to_owned(), |a| describer.action(a, &servers).0);
-        println!("  {what}: {said}");
+    for (origin, action) in [("recorded", &first.recorded), ("this build", &first.decided)] {
+        let text = action
+            .as_ref()
+            .map_or_else(|| "no further action".to_owned(), |a| describer.action(a, &servers).0);
+        println!("  {origin}: {text}");
     }
     Ok(REFUSED)
 }
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -1,5 +1,5 @@
-//! The recorder beside the running program: what it writes is what was asked and decided, and a replay of it
-//! decides the same.
+//! Tests the trace recorder with the running program: traces contain the requests and decisions, and replaying them
+//! gives the same decisions.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command};
@@ -9,8 +9,8 @@
 use badgergauge_trace::tools;
 mod program;
 
-/// Long after anything that works has happened; no verdict hangs on it.
-const HANGS: std::time::Duration = std::time::Duration::from_secs(20);
+/// Upper bound on waits, so that a failing test ends; no result depends on its length.
+const WAIT_LIMIT: std::time::Duration = std::time::Duration::from_secs(20);
 
 struct Broker {
     program: Child,
@@ -49,7 +49,7 @@
         Broker { program, address, dir, log }
     }
 
-    fn ask(&self, class: &str, name: &str, headers: &str) -> String {
+    fn request(&self, class: &str, name: &str, headers: &str) -> String {
         let body = r#"{"tablets":[{"tablet":0,"fraction":0.5},{"tablet":1,"fraction":0.5}],"statement":"secret-text"}"#;
         let request = format!(
             "POST /{class} HTTP/1.1\r\nHost: h\r\nX-Request-ID: {name}\r\nX-Timeout: 9000m\r\n{headers}\
@@ -78,49 +78,49 @@
     (0..2).map(|_| TileServer::start().expect("starts")).collect()
 }
 
-fn all(files: &[PathBuf]) -> MergedStream {
+fn open_all(files: &[PathBuf]) -> MergedStream {
     MergedStream::open(files, i64::MIN..i64::MAX).expect("sound")
 }
 
-fn story(files: &[PathBuf], name: &str) -> Vec<String> {
-    let (told, ..) = tools::explain(files, name, false).expect("read");
-    told.into_iter().map(|one| one.line.text).collect()
+fn explain(files: &[PathBuf], name: &str) -> Vec<String> {
+    let (lines, ..) = tools::explain(files, name, false).expect("read");
+    lines.into_iter().map(|explained| explained.line.text).collect()
 }
 
-// Guards the way from a request to a trace that answers for it: every step is there, closed by SIGTERM and
-// begun anew by SIGHUP, and this build decides the same from it.
+// Guards against steps that are lost between a request and the trace: SIGHUP starts a new file, SIGTERM closes it,
+// and replaying both files gives every decision again.
 #[test]
-fn what_was_asked_and_decided_is_on_record() {
+fn requests_and_decisions_are_recorded() {
     let servers = servers();
     let mut broker = Broker::start("record", &servers, "trace: {dir: DIR, file_mb: 1, total_mb: 4}\n");
-    assert!(broker.ask("search", "q1", "X-Route-Key: 00000000deadbeef\r\n").contains("\"full\":true"));
+    assert!(broker.request("search", "q1", "X-Route-Key: 00000000deadbeef\r\n").contains("\"full\":true"));
     // One server fails: its parts are sent to the other.
     servers[0].behave(Manner::Break);
     for number in 2..8 {
-        assert!(broker.ask("search", &format!("q{number}"), "").contains("\"full\":true"));
+        assert!(broker.request("search", &format!("q{number}"), "").contains("\"full\":true"));
     }
     broker.signal("HUP");
-    while !broker.log.recv_timeout(HANGS).expect("it says so").contains("a new file begins") {}
+    while !broker.log.recv_timeout(WAIT_LIMIT).expect("it says so").contains("a new file begins") {}
     servers[0].behave(Manner::Serve);
-    assert!(broker.ask("flag", "q8", "Idempotency-Key: key-8\r\n").contains("\"full\":true"));
+    assert!(broker.request("flag", "q8", "Idempotency-Key: key-8\r\n").contains("\"full\":true"));
     broker.stop();
     let files = broker.files();
     assert_eq!(files.len(), 2, "{files:?}");
-    let (runs, notices, _) = tools::verify(all(&files), true, &mut |_, _| {}).expect("read");
+    let (runs, notices, _) = tools::verify(open_all(&files), true, &mut |_, _| {}).expect("read");
     assert!(notices.is_empty(), "{notices:?}");
     assert_eq!((runs.len(), &runs[0].difference, &runs[0].stopped), (1, &None, &None));
     assert!(runs[0].decisions >= 8 * 3, "{}", runs[0].decisions);
-    let first = story(&files, "q1");
+    let first = explain(&files, "q1");
     let key = "key 00000000deadbeef";
     assert!(first[0].starts_with("query 1 taken: search \"q1\"") && first[0].contains(key), "{first:?}");
-    let says = |words: &str| first.iter().any(|line| line.contains(words));
-    assert!(says("block 0: sent to s") && says("its home") && says("served after"), "{first:?}");
+    let contains = |text: &str| first.iter().any(|line| line.contains(text));
+    assert!(contains("block 0: sent to s") && contains("its home") && contains("served after"), "{first:?}");
     assert!(first.last().is_some_and(|line| line.contains("answered whole")), "{first:?}");
-    let moved = (2..8).flat_map(|number| story(&files, &format!("q{number}")));
+    let moved = (2..8).flat_map(|number| explain(&files, &format!("q{number}")));
     assert!(moved.filter(|line| line.contains("it was at its home s0 before")).count() >= 1);
-    // By its idempotency key it is found as well.
-    assert_eq!(story(&files, "key-8"), story(&files, "q8"));
-    // What parts carry and what servers answer is never on record.
+    // A query is also found by its idempotency key.
+    assert_eq!(explain(&files, "key-8"), explain(&files, "q8"));
+    // The contents of parts and of the servers' answers are never recorded.
     for path in &files {
         let mut reader = badgergauge_trace::merge::open(path).expect("sound");
         while let Some(records) = reader.next_block().expect("read") {
@@ -133,12 +133,13 @@
     }
 }
 
-// Guards against a crash: what was on record a moment before is read, and the rest is named as cut off.
+// Guards against losing records in a crash: blocks written before it are readable, and the file is reported as not
+// closed.
 #[test]
-fn a_killed_broker_leaves_a_trace_that_is_read() {
+fn the_trace_of_a_killed_broker_is_readable() {
     let mut broker = Broker::start("killed", &servers(), "trace: {dir: DIR}\n");
-    assert!(broker.ask("search", "q1", "").contains("\"full\":true"));
-    // A block is written once a second: it is there when the file has grown beyond its header.
+    assert!(broker.request("search", "q1", "").contains("\"full\":true"));
+    // Blocks are written once a second: one has been written when the file has grown beyond its header.
     let length =
         || broker.files().iter().map(|path| std::fs::metadata(path).expect("there").len()).sum::<u64>();
     let header = length();
@@ -148,7 +149,7 @@
     broker.program.kill().expect("runs");
     broker.program.wait().expect("ends");
     let files = broker.files();
-    let mut merged = all(&files);
+    let mut merged = open_all(&files);
     let mut named = Vec::new();
     while let Some(record) = merged.next_record().expect("read") {
         named.extend(record.named.into_iter().map(|named| named.name));
@@ -158,9 +159,10 @@
     assert!(notices.iter().all(|notice| notice.message.contains("not closed")), "{notices:?}");
 }
 
-// Guards the start: a folder that can't be used ends the program with the key.
+// Guards against starting without a trace: if the folder cannot be created, the program exits with an error that
+// names the setting and the path.
 #[test]
-fn a_folder_that_cannot_be_made_is_refused() {
+fn a_trace_folder_that_cannot_be_created_is_an_error() {
     let dir = std::env::temp_dir().join(format!("badgergauge-trace-{}-refused", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     std::fs::write(dir.join("file"), "").expect("written");
@@ -174,11 +176,11 @@
         .env("BALANCER_DISCOVERY", "127.0.0.1:1")
         .output()
         .expect("runs");
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        said.contains("trace.dir: ") && said.contains(&Path::new("file/t").display().to_string()),
-        "{said}"
+        stderr.contains("trace.dir: ") && stderr.contains(&Path::new("file/t").display().to_string()),
+        "{stderr}"
     );
     std::fs::remove_dir_all(&dir).expect("removed");
 }
