--- a/crates/trace/src/align.rs
+++ b/crates/trace/src/align.rs
@@ -1,9 +1,9 @@
 //! Estimates the clock offsets between brokers from events that several of them recorded. No I/O.
 //!
-//! A change of the server list reaches all brokers at about the same moment: the median difference between the
-//! times that two clocks recorded for the same versions estimates their offset, with an error that depends on
-//! the spread. A client's retry is received after its first try has ended: that bounds the offset on one side,
-//! whatever the spread.
+//! A change of the server list reaches all brokers at about the same moment: the median difference between
+//! the times that two clocks recorded for the same versions estimates their offset, with an error that
+//! depends on the spread. A client's retry is received after its first try has ended: that bounds the offset
+//! on one side, whatever the spread.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -135,8 +135,8 @@
         &self.retries
     }
 
-    /// Estimates the offsets that convert all sources' times to the clock of the first, as far as sources share
-    /// versions.
+    /// Estimates the offsets that convert all sources' times to the clock of the first, as far as sources
+    /// share versions.
     pub fn estimate_offsets(&self) -> Vec<Offset> {
         estimate_offsets(&self.versions, &self.retries)
     }
@@ -153,8 +153,8 @@
 }
 
 /// Estimates offsets from the times at which each source recorded versions, then corrects them by the least
-/// that puts retries after their first tries. `versions` holds, by source, the Unix time in nanoseconds of each
-/// version.
+/// that puts retries after their first tries. `versions` holds, by source, the Unix time in nanoseconds of
+/// each version.
 pub fn estimate_offsets(versions: &[BTreeMap<u64, i64>], retries: &[ClientRetry]) -> Vec<Offset> {
     let count = versions.len();
     let mut by_version: BTreeMap<u64, Vec<(usize, i64)>> = BTreeMap::new();
@@ -164,7 +164,8 @@
         }
     }
     by_version.retain(|_, times| times.len() > 1);
-    // Sources that share versions, directly or through others, form a group; its first source is the reference.
+    // Sources that share versions, directly or through others, form a group; its first source is the
+    // reference.
     let mut group: Vec<usize> = (0..count).collect();
     for times in by_version.values() {
         let reference = times.iter().map(|(source, _)| group[*source]).min().unwrap_or(0);
@@ -172,7 +173,8 @@
         group.iter_mut().filter(|of| merged.contains(of)).for_each(|of| *of = reference);
     }
     let mut nanos = vec![0_i64; count];
-    // Initial estimate: the versions shared with the group's reference, which is close enough to iterate from.
+    // Initial estimate: the versions shared with the group's reference, which is close enough to iterate
+    // from.
     for source in 0..count {
         let first = &versions[group[source]];
         let mut differences: Vec<i64> =
@@ -215,8 +217,8 @@
     found
 }
 
-/// Adjusts offsets so that every retry comes after its first try, where any offsets can achieve that. The first
-/// source is the reference and keeps its offset.
+/// Adjusts offsets so that every retry comes after its first try, where any offsets can achieve that. The
+/// first source is the reference and keeps its offset.
 fn enforce_causality(offsets: &mut [Offset], retries: &[ClientRetry]) {
     // Only the tightest bound of each pair matters.
     let mut bounds: BTreeMap<(usize, usize), i64> = BTreeMap::new();
@@ -224,8 +226,8 @@
         let least = bounds.entry((cause.0, effect.0)).or_insert(i64::MIN);
         *least = (*least).max(cause.1.saturating_sub(effect.1).saturating_add(1));
     }
-    // The upper bound of each offset: the sources that accepted retries of its clients are themselves bounded by
-    // the first source, whose offset is fixed.
+    // The upper bound of each offset: the sources that accepted retries of its clients are themselves bounded
+    // by the first source, whose offset is fixed.
     let mut upper = vec![i64::MAX / 4; offsets.len()];
     if let Some(first) = upper.first_mut() {
         *first = 0;
@@ -326,8 +328,8 @@
     #[test]
     fn retries_come_after_their_first_tries() {
         let versions = version_times(&[0, 0, 0], 4, 0);
-        // The versions show no clock difference, but a query refused at source 1 was retried at source 2 with a
-        // time 3 ms earlier; and one refused at source 2 was retried at source 0, the fixed reference.
+        // The versions show no clock difference, but a query refused at source 1 was retried at source 2 with
+        // a time 3 ms earlier; and one refused at source 2 was retried at source 0, the fixed reference.
         let retries = [
             ClientRetry { cause: (1, 1000 * MS), effect: (2, 997 * MS) },
             ClientRetry { cause: (2, 2000 * MS), effect: (0, 2001 * MS) },
--- a/crates/trace/src/describe.rs
+++ b/crates/trace/src/describe.rs
@@ -1,5 +1,5 @@
-//! Describes records as text and JSON lines, one for each event and action, with the query, servers and reasons
-//! that each concerns. No I/O.
+//! Describes records as text and JSON lines, one for each event and action, with the query, servers and
+//! reasons that each concerns. No I/O.
 
 use std::time::Duration;
 
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -1,6 +1,6 @@
-//! Merges trace files into one stream that yields every step of every run exactly once, in order of time, even
-//! where files overlap. The order of steps within a run is preserved. At least one block of each file being read
-//! is held in memory.
+//! Merges trace files into one stream that yields every step of every run exactly once, in order of time,
+//! even where files overlap. The order of steps within a run is preserved. About one block of each file
+//! being read is held in memory.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt;
@@ -48,8 +48,8 @@
 
 impl std::error::Error for MergeError {}
 
-/// How far the steps of one file may be out of time order, in nanoseconds: an earlier merge that corrected clocks
-/// can have reordered them. It limits how far beyond the current step a file is read ahead.
+/// How far the steps of one file may be out of time order, in nanoseconds: an earlier merge that corrected
+/// clocks can have reordered them. It limits how far beyond the current step a file is read ahead.
 const REORDER_WINDOW_NS: i64 = 10_000_000_000;
 
 type FileReader = Reader<BufReader<File>>;
@@ -223,7 +223,8 @@
         &self.header
     }
 
-    /// Adds an offset in nanoseconds to the times of each source. Must be called before the first record is read.
+    /// Adds an offset in nanoseconds to the times of each source. Must be called before the first record is
+    /// read.
     pub fn apply_offsets(&mut self, offsets: &[i64]) {
         for (source, offset) in self.header.sources.iter_mut().zip(offsets) {
             source.moved = source.moved.saturating_add(*offset);
@@ -287,8 +288,8 @@
         }
     }
 
-    /// Finds a run's next step. Where none is buffered, returns the file to read next for it and the Unix time
-    /// in nanoseconds up to which that file has been read.
+    /// Finds a run's next step. Where none is buffered, returns the file to read next for it and the Unix
+    /// time in nanoseconds up to which that file has been read.
     fn advance(&mut self, index: usize) -> Result<Option<(i64, usize)>, MergeError> {
         loop {
             let MergedStream { header, inputs, runs, .. } = self;
@@ -326,8 +327,8 @@
         }
     }
 
-    /// Reads a file's next block into the buffers of all its sources, or marks the file as finished. A file with
-    /// several sources is in order of time, so records buffered for the other sources are soon yielded.
+    /// Reads a file's next block into the buffers of all its sources, or marks the file as finished. A file
+    /// with several sources is in order of time, so records buffered for the other sources are soon yielded.
     fn read_block(&mut self, file: usize) -> Result<(), MergeError> {
         let input = &mut self.inputs[file];
         if input.reader.is_none() {
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -104,8 +104,8 @@
         self.decisions
     }
 
-    /// Replays a step and returns the first difference, if any. With `reasons`, the reasons of the actions are
-    /// compared too.
+    /// Replays a step and returns the first difference, if any. With `reasons`, the reasons of the actions
+    /// are compared too.
     ///
     /// # Errors
     ///
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -201,7 +201,8 @@
         for action in &record.actions {
             self.action(record, source, action);
         }
-        // A trace may begin or end in the middle of queries, whose ends are then never seen: bounds the memory.
+        // A trace may begin or end in the middle of queries, whose ends are then never seen: bounds the
+        // memory.
         let run = &mut self.runs[record.source as usize];
         if run.open.len() > MAX_OPEN_QUERIES || run.sent.len() > MAX_SENT_ATTEMPTS {
             run.open.clear();
@@ -370,8 +371,8 @@
     }
 }
 
-/// Drops the attempt counts of an ended query's parts. Their servers are kept in `sent`, as outcomes may still be
-/// recorded.
+/// Drops the attempt counts of an ended query's parts. Their servers are kept in `sent`, as outcomes may
+/// still be recorded.
 fn drop_attempt_counts(run: &mut RunState, query: QueryId, open: &OpenQuery) {
     for part in 1..=open.weights.len() as u64 {
         run.attempts.remove(&PartId(query.0 + part));
--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -1,5 +1,5 @@
-//! The operations behind `badgergauge trace`. Each reads its input once or twice and holds a bounded part of it in
-//! memory.
+//! The operations behind `badgergauge trace`. Each reads its input once or twice and holds a bounded part of
+//! it in memory.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -88,8 +88,8 @@
     pub notices: Vec<Notice>,
 }
 
-/// An output file that is written under a temporary name and renamed when it is complete. The temporary file is
-/// removed on drop.
+/// An output file that is written under a temporary name and renamed when it is complete. The temporary file
+/// is removed on drop.
 struct Output {
     temporary: PathBuf,
     path: PathBuf,
@@ -180,13 +180,13 @@
     Ok(Alignment { offsets, retries: observations.retries().len(), causality_violations })
 }
 
-/// Copies a file record by record, replacing route keys and idempotency keys if a mask is given. Also returns how
-/// the input file ends.
+/// Copies a file record by record, replacing route keys and idempotency keys if a mask is given. Also returns
+/// how the input file ends.
 ///
 /// # Errors
 ///
-/// When the input cannot be read, is already masked although a mask is given, or the output cannot be written; then
-/// no output file is left.
+/// When the input cannot be read, is already masked although a mask is given, or the output cannot be
+/// written; then no output file is left.
 pub fn copy(from: &Path, to: &Path, mask: Option<&Mask>) -> Result<(WriteStats, End), ToolError> {
     let mut reader = open(from)?;
     if mask.is_some() && reader.header().masked {
@@ -228,8 +228,8 @@
     pub stopped: Option<Unverifiable>,
 }
 
-/// Replays every run with this build. Returns the result of each run, the problems found in the files, and the
-/// names of the servers. With `reasons`, the reasons of the actions are compared too.
+/// Replays every run with this build. Returns the result of each run, the problems found in the files, and
+/// the names of the servers. With `reasons`, the reasons of the actions are compared too.
 ///
 /// # Errors
 ///
@@ -293,8 +293,8 @@
     pub scanned_files: usize,
 }
 
-/// Finds all lines that concern a query, given its name or its idempotency key: those of every try at every broker,
-/// in order of time. With `scan`, all blocks are read instead of those that the indexes name.
+/// Finds all lines that concern a query, given its name or its idempotency key: those of every try at every
+/// broker, in order of time. With `scan`, all blocks are read instead of those that the indexes name.
 ///
 /// # Errors
 ///
@@ -396,8 +396,8 @@
     servers: &'a Servers,
 }
 
-/// Calls `take` with each record of the blocks that `filter` selects by the file's index, or of all blocks if the
-/// file has none or `scan` is set.
+/// Calls `take` with each record of the blocks that `filter` selects by the file's index, or of all blocks if
+/// the file has none or `scan` is set.
 fn for_each_block(
     path: &Path,
     filter: BlockFilter,
--- a/src/bin/badgergauge/trace.rs
+++ b/src/bin/badgergauge/trace.rs
@@ -25,8 +25,8 @@
 /// Subcommands of `badgergauge trace`.
 #[derive(Subcommand)]
 pub enum Trace {
-    /// Generates traces of synthetic traffic through the real decision module in virtual time; the same seed gives
-    /// the same bytes.
+    /// Generates traces of synthetic traffic through the real decision module in virtual time; the same seed
+    /// gives the same bytes.
     #[command(
         after_help = "Example:\n  badgergauge trace synth --duration 1h --brokers 3 --seed 7 --skew 5ms \
         --out hour"
@@ -43,8 +43,8 @@
     /// Writes the steps in a time window into one file.
     #[command(
         after_help = "Example:\n  badgergauge trace cut hour --from +10m --to +12m --out incident.bgt\n\n\
-        A time is absolute (2026-11-27T08:10:00Z) or relative to the first step (+90s). The window includes its \
-        start and excludes its end, so that consecutive windows contain every step once."
+        A time is absolute (2026-11-27T08:10:00Z) or relative to the first step (+90s). The window includes \
+        its start and excludes its end, so that consecutive windows contain every step once."
     )]
     Cut(Cut),
     /// Merges the traces of several brokers into one file in order of time, corrected for clock offsets.
@@ -347,8 +347,8 @@
     }
 }
 
-/// Prints the problems found in the input files to standard error. Returns the exit code: [`INCOMPLETE`] if the
-/// result may lack records because of one.
+/// Prints the problems found in the input files to standard error. Returns the exit code: [`INCOMPLETE`] if
+/// the result may lack records because of one.
 fn report_notices(notices: &[Notice]) -> u8 {
     let mut code = DONE;
     for Notice { path, message } in notices {
@@ -383,9 +383,9 @@
     };
     let made = badgergauge_synth::run(&plan, create).map_err(write_error)?;
     let [whole, partial, refused, failed, nobody] = made.ends;
-    let report = json!({"files": made.files, "steps": made.steps, "decisions": made.decisions, "tries": made.tries,
-        "whole": whole, "partial": partial, "refused": refused, "failed": failed, "nobody": nobody,
-        "skewsNs": made.skews});
+    let report = json!({"files": made.files, "steps": made.steps, "decisions": made.decisions,
+        "tries": made.tries, "whole": whole, "partial": partial, "refused": refused, "failed": failed,
+        "nobody": nobody, "skewsNs": made.skews});
     println!("{report}");
     Ok(DONE)
 }
@@ -594,7 +594,7 @@
             }
             (None, Some(error)) => {
                 format!(
-                    "give or take {:.3} ms, by {} list versions",
+                    "+/- {:.3} ms, estimated from {} list versions",
                     error as f64 / 1e6,
                     found.common_versions
                 )
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -1,5 +1,5 @@
-//! Tests the trace recorder with the running program: traces contain the requests and decisions, and replaying them
-//! gives the same decisions.
+//! Tests the trace recorder with the running program: traces contain the requests and decisions, and
+//! replaying them gives the same decisions.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command};
@@ -87,8 +87,8 @@
     lines.into_iter().map(|explained| explained.line.text).collect()
 }
 
-// Guards against steps that are lost between a request and the trace: SIGHUP starts a new file, SIGTERM closes it,
-// and replaying both files gives every decision again.
+// Guards against steps that are lost between a request and the trace: SIGHUP starts a new file, SIGTERM
+// closes it, and replaying both files gives every decision again.
 #[test]
 fn requests_and_decisions_are_recorded() {
     let servers = servers();
@@ -133,8 +133,8 @@
     }
 }
 
-// Guards against losing records in a crash: blocks written before it are readable, and the file is reported as not
-// closed.
+// Guards against losing records in a crash: blocks written before it are readable, and the file is reported
+// as not closed.
 #[test]
 fn the_trace_of_a_killed_broker_is_readable() {
     let mut broker = Broker::start("killed", &servers(), "trace: {dir: DIR}\n");
@@ -159,8 +159,8 @@
     assert!(notices.iter().all(|notice| notice.message.contains("not closed")), "{notices:?}");
 }
 
-// Guards against starting without a trace: if the folder cannot be created, the program exits with an error that
-// names the setting and the path.
+// Guards against starting without a trace: if the folder cannot be created, the program exits with an error
+// that names the setting and the path.
 #[test]
 fn a_trace_folder_that_cannot_be_created_is_an_error() {
     let dir = std::env::temp_dir().join(format!("badgergauge-trace-{}-refused", std::process::id()));
