--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -8,6 +8,7 @@
 
 pub mod align;
 pub mod codec;
+pub mod describe;
 pub mod frame;
 pub mod header;
 pub mod mask;
@@ -18,7 +19,6 @@
 pub mod replay;
 pub mod rotation;
 pub mod sample;
-pub mod story;
 pub mod summary;
 pub mod tools;
 pub mod track;
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -277,7 +277,7 @@
         if let Some(gap) = record.gap.take() {
             self.policy.add_lost(gap.first, gap.last, &gap.reason);
         }
-        if !self.sampler.thin(&mut record) {
+        if !self.sampler.apply(&mut record) {
             return;
         }
         let size = self.file.as_ref().map_or(0, |(_, writer)| writer.size());
--- a/crates/trace/src/write.rs
+++ b/crates/trace/src/write.rs
@@ -10,7 +10,7 @@
 use crate::frame::{self, FrameHeader};
 use crate::header::{Header, to_wire};
 use crate::record::{Record, ServerNames};
-use crate::track::{Tracker, query_of_action, query_of_event};
+use crate::track::{QueryTracker, query_of_action, query_of_event};
 use crate::wire;
 
 /// Approximate uncompressed size in bytes at which a block is written.
@@ -54,7 +54,7 @@
     header: Header,
     encoder: Encoder,
     /// One per source.
-    trackers: Vec<Tracker>,
+    trackers: Vec<QueryTracker>,
     summary: BlockSummary,
     entries: Vec<wire::Entry>,
     compressor: zstd::bulk::Compressor<'static>,
@@ -82,7 +82,7 @@
             out,
             offset: (frame::PREAMBLE_LEN + message.len()) as u64,
             written: 0,
-            trackers: vec![Tracker::default(); header.sources.len()],
+            trackers: vec![QueryTracker::default(); header.sources.len()],
             header,
             encoder: Encoder::default(),
             summary: BlockSummary::default(),
@@ -112,7 +112,7 @@
         let span = summary.spans.entry(record.source).or_insert((record.sequence, record.sequence));
         *span = (span.0.min(record.sequence), span.1.max(record.sequence));
         for event in &record.events {
-            tracker.see(record.time, event);
+            tracker.observe(record.time, event);
             if let Event::Query(query) = event {
                 if summary.taken.len() <= query.class {
                     summary.taken.resize(query.class.min(u8::MAX.into()) + 1, 0);
