--- a/src/broker.rs
+++ b/src/broker.rs
@@ -295,7 +295,7 @@
     pub fn run(mut self) -> io::Result<()> {
         let (mut ready, mut due) = (Vec::new(), Vec::new());
         while self.goes_on() {
-            self.turn(&mut ready, &mut due, self.lifecycle.due())?;
+            self.turn(&mut ready, &mut due, self.lifecycle.next_transition())?;
         }
         if let Some(trace) = self.trace.take() {
             trace.close(self.net.clock.now());
@@ -317,7 +317,7 @@
         let pause = if self.again.is_empty() { wake.map(|at| at.since(now)) } else { Some(Duration::ZERO) };
         self.net.poll.wait(pause, ready)?;
         let now = self.net.clock.now();
-        self.lifecycle.pass(now);
+        self.lifecycle.advance(now);
         // Before any request is read: whoever has the answer to a call for a drain is told of it from then on.
         self.heed_drain(now);
         for key in std::mem::take(&mut self.again) {
@@ -343,11 +343,11 @@
     /// Whether the process goes on: it ends once it was told to and nothing is owed to anyone.
     fn goes_on(&mut self) -> bool {
         let now = self.net.clock.now();
-        self.lifecycle.pass(now);
+        self.lifecycle.advance(now);
         if self.lifecycle.is_stopping() {
             let owed =
                 self.core.open_queries() > 0 || self.clients.values().any(Client::has_pending_response);
-            self.lifecycle.left(now, !self.listeners.is_empty(), owed, !self.clients.is_empty());
+            self.lifecycle.check_completion(now, !self.listeners.is_empty(), owed, !self.clients.is_empty());
         }
         self.lifecycle.phase() != LifePhase::Ended
     }
--- a/src/broker/clients.rs
+++ b/src/broker/clients.rs
@@ -101,7 +101,7 @@
             Taken::Answered(response) => response,
             Taken::Query(mut query, pending) => {
                 query.time_left =
-                    query.time_left.saturating_sub(spent).min(self.lifecycle.ends_by.since(now));
+                    query.time_left.saturating_sub(spent).min(self.lifecycle.shutdown_deadline.since(now));
                 if let Some(holder) =
                     self.core.reply_id_of(&query.name).filter(|holder| holder.0 != key as u64)
                 {
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -20,7 +20,7 @@
         match self.operations.drain_requested() {
             true if self.lifecycle.drain(now) => {
                 tracing::info!("draining, {} clients, {} open", self.clients.len(), self.core.open_queries());
-                self.net.timers.arm(self.lifecycle.drain_rests_until, TimerEvent::DrainIdleEnd);
+                self.net.timers.arm(self.lifecycle.drain_idle_until, TimerEvent::DrainIdleEnd);
             }
             false if self.lifecycle.resume() => tracing::info!("no longer draining"),
             _ => {}
@@ -44,7 +44,7 @@
 
     /// Ends the connections that rest, where a drain's time for them is over.
     pub(super) fn end_resting(&mut self, now: Time) {
-        if self.lifecycle.drain_rest(now).is_some_and(|rest| rest.is_zero()) {
+        if self.lifecycle.drain_idle_left(now).is_some_and(|rest| rest.is_zero()) {
             self.stop_serving(now);
         }
     }
--- a/src/broker/signals.rs
+++ b/src/broker/signals.rs
@@ -84,10 +84,10 @@
         self.operations.set_stopping();
         tracing::info!("stopping, {} open", self.core.open_queries());
         self.core.add_note("stopping");
-        let (listens, serves) = (self.lifecycle.listens_until, self.lifecycle.serves_until);
+        let (listens, serves) = (self.lifecycle.listen_until, self.lifecycle.keep_idle_until);
         self.net.timers.arm(listens, TimerEvent::StopListening);
         self.net.timers.arm(serves.max(listens), TimerEvent::StopServing);
-        self.net.timers.arm(self.lifecycle.ends_by, TimerEvent::ShutdownDeadline);
+        self.net.timers.arm(self.lifecycle.shutdown_deadline, TimerEvent::ShutdownDeadline);
     }
 
     /// The broker has no more time: what is open gets its answer now.
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -6,19 +6,19 @@
 use crate::interface::{Class, Time};
 
 /// After SIGTERM clients still come for a while; so long they are listened to.
-const LAST_LISTENING: Duration = Duration::from_millis(500);
+const STOP_LISTEN_DELAY: Duration = Duration::from_millis(500);
 /// A client whose connection was just taken has so long to send its first request.
-const FIRST_REQUEST: Duration = Duration::from_millis(500);
-/// After SIGTERM a broker may go on for the longest deadline, or this, and `LAST_LISTENING` more.
-const LONGEST: Duration = Duration::from_secs(3);
+const FIRST_REQUEST_TIME: Duration = Duration::from_millis(500);
+/// After SIGTERM a broker may go on for the longest deadline, or this, and `STOP_LISTEN_DELAY` more.
+const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
 /// Queries that are taken until the last have so many of the longest aim left until then.
-const LAST_AIMS: u32 = 2;
+const SHUTDOWN_AIMS: u32 = 2;
 /// Once nothing is owed, clients that have met the end of their connections have so long to end them too: a process
 /// that ends over bytes that it has not read resets them.
-const LAST_LINGERING: Duration = Duration::from_millis(200);
+const LINGER_TIME: Duration = Duration::from_millis(200);
 /// In a drain connections may rest for so long, as most of them carry one more request and end with its answer. Clients
 /// have left 2 s after that.
-const DRAIN_REST: Duration = Duration::from_secs(1);
+const DRAIN_IDLE_TIME: Duration = Duration::from_secs(1);
 
 /// Where the process stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,14 +48,14 @@
     /// Whether a successor has its listeners.
     handed_over: bool,
     /// From then on connections that rest are ended, while it is drained.
-    pub drain_rests_until: Time,
+    pub drain_idle_until: Time,
     /// Until then new connections are taken, once it was told to end.
-    pub listens_until: Time,
+    pub listen_until: Time,
     /// Until then connections may rest, once it was told to end.
-    pub serves_until: Time,
+    pub keep_idle_until: Time,
     /// By then all is answered.
-    pub ends_by: Time,
-    lingers_until: Time,
+    pub shutdown_deadline: Time,
+    linger_until: Time,
 }
 
 impl Default for Lifecycle {
@@ -64,11 +64,11 @@
         Lifecycle {
             phase: Phase::Starting,
             handed_over: false,
-            drain_rests_until: never,
-            listens_until: never,
-            serves_until: never,
-            ends_by: never,
-            lingers_until: never,
+            drain_idle_until: never,
+            listen_until: never,
+            keep_idle_until: never,
+            shutdown_deadline: never,
+            linger_until: never,
         }
     }
 }
@@ -117,7 +117,7 @@
             return false;
         }
         self.phase = Phase::Drained;
-        self.drain_rests_until = now.after(DRAIN_REST);
+        self.drain_idle_until = now.after(DRAIN_IDLE_TIME);
         true
     }
 
@@ -127,13 +127,13 @@
             return false;
         }
         self.phase = Phase::Serving;
-        self.drain_rests_until = Time(u64::MAX);
+        self.drain_idle_until = Time(u64::MAX);
         true
     }
 
     /// How long a connection may rest from now on, where a drain says so.
-    pub fn drain_rest(&self, now: Time) -> Option<Duration> {
-        (self.phase == Phase::Drained).then(|| self.drain_rests_until.since(now))
+    pub fn drain_idle_left(&self, now: Time) -> Option<Duration> {
+        (self.phase == Phase::Drained).then(|| self.drain_idle_until.since(now))
     }
 
     /// Whether a successor takes clients on the same listeners: then this process's clients have somewhere to go.
@@ -147,22 +147,22 @@
         match self.phase {
             Phase::Starting => self.phase = Phase::Ended,
             Phase::Serving | Phase::Drained => {
-                let longest = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+                let deadline = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
                 let aim = classes.iter().map(|class| class.aim).max().unwrap_or_default();
-                let whole = longest.min(LONGEST) + LAST_LISTENING;
+                let total = deadline.min(MAX_SHUTDOWN_DEADLINE) + STOP_LISTEN_DELAY;
                 // Where that leaves no time, each answer says from now on that its connection ends.
-                let serving = whole.saturating_sub(aim.saturating_mul(LAST_AIMS));
-                let has_time = serving > LAST_LISTENING && !self.is_drained();
-                let listening = if self.handed_over { Duration::ZERO } else { LAST_LISTENING };
+                let keep_idle = total.saturating_sub(aim.saturating_mul(SHUTDOWN_AIMS));
+                let has_time = keep_idle > STOP_LISTEN_DELAY && !self.is_drained();
+                let listen = if self.handed_over { Duration::ZERO } else { STOP_LISTEN_DELAY };
                 // Ended with the listening, the connections that were taken last would end before their first request.
-                let least = (listening + FIRST_REQUEST).min(whole);
-                let serving = if has_time { serving.max(least) } else { least };
-                self.listens_until = now.after(listening);
-                self.serves_until = now.after(serving);
-                self.ends_by = now.after(whole);
-                let stays = has_time && !self.handed_over;
-                self.phase = if stays { Phase::Stopping } else { Phase::Closing };
-                self.pass(now);
+                let min_keep_idle = (listen + FIRST_REQUEST_TIME).min(total);
+                let keep_idle = if has_time { keep_idle.max(min_keep_idle) } else { min_keep_idle };
+                self.listen_until = now.after(listen);
+                self.keep_idle_until = now.after(keep_idle);
+                self.shutdown_deadline = now.after(total);
+                let keeps_open = has_time && !self.handed_over;
+                self.phase = if keeps_open { Phase::Stopping } else { Phase::Closing };
+                self.advance(now);
             }
             _ => return false,
         }
@@ -170,32 +170,40 @@
     }
 
     /// Time has gone on.
-    pub fn pass(&mut self, now: Time) {
-        if self.phase == Phase::Stopping && now >= self.serves_until {
+    pub fn advance(&mut self, now: Time) {
+        if self.phase == Phase::Stopping && now >= self.keep_idle_until {
             self.phase = Phase::Closing;
         }
-        if self.phase == Phase::Lingering && now >= self.lingers_until {
+        if self.phase == Phase::Lingering && now >= self.linger_until {
             self.phase = Phase::Ended;
         }
     }
 
     /// What is left: whether anything is owed, and whether any client has a connection. Only what was told to end and
     /// listens no more may be done.
-    pub fn left(&mut self, now: Time, listens: bool, owed: bool, clients: bool) {
+    pub fn check_completion(
+        &mut self,
+        now: Time,
+        listening: bool,
+        responses_pending: bool,
+        clients_connected: bool,
+    ) {
         match self.phase {
-            Phase::Stopping | Phase::Closing if !listens && !owed && !clients => self.phase = Phase::Ended,
-            Phase::Closing if !listens && !owed && now >= self.serves_until => {
+            Phase::Stopping | Phase::Closing if !listening && !responses_pending && !clients_connected => {
+                self.phase = Phase::Ended
+            }
+            Phase::Closing if !listening && !responses_pending && now >= self.keep_idle_until => {
                 self.phase = Phase::Lingering;
-                self.lingers_until = now.after(LAST_LINGERING).min(self.ends_by.max(now));
+                self.linger_until = now.after(LINGER_TIME).min(self.shutdown_deadline.max(now));
             }
-            Phase::Lingering if !clients => self.phase = Phase::Ended,
+            Phase::Lingering if !clients_connected => self.phase = Phase::Ended,
             _ => {}
         }
     }
 
     /// When it is to be looked at again, at the latest.
-    pub fn due(&self) -> Option<Time> {
-        (self.phase == Phase::Lingering).then_some(self.lingers_until)
+    pub fn next_transition(&self) -> Option<Time> {
+        (self.phase == Phase::Lingering).then_some(self.linger_until)
     }
 }
 
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -35,15 +35,17 @@
     for (aim, deadline) in [(500, 3000), (2000, 6000), (100, 400), (1000, 1000), (30_000, 60_000)] {
         let mut lifecycle = stopped(aim, deadline);
         let killed = at(deadline.min(3000) + 700);
-        assert!(lifecycle.ends_by < killed && lifecycle.serves_until <= lifecycle.ends_by);
-        assert!(lifecycle.listens_until <= at(500));
-        lifecycle.pass(lifecycle.serves_until);
+        assert!(
+            lifecycle.shutdown_deadline < killed && lifecycle.keep_idle_until <= lifecycle.shutdown_deadline
+        );
+        assert!(lifecycle.listen_until <= at(500));
+        lifecycle.advance(lifecycle.keep_idle_until);
         assert_eq!(lifecycle.phase(), Phase::Closing, "{aim} {deadline}");
         // What ends at the last moment lingers no longer than the process has.
-        lifecycle.left(lifecycle.ends_by, false, false, true);
-        let due = lifecycle.due().expect("it lingers");
-        assert!(due <= lifecycle.ends_by, "{due:?}");
-        lifecycle.pass(due);
+        lifecycle.check_completion(lifecycle.shutdown_deadline, false, false, true);
+        let due = lifecycle.next_transition().expect("it lingers");
+        assert!(due <= lifecycle.shutdown_deadline, "{due:?}");
+        lifecycle.advance(due);
         assert_eq!(lifecycle.phase(), Phase::Ended);
     }
 }
@@ -57,9 +59,9 @@
     early.started();
     assert_eq!(early.phase(), Phase::Ended);
     let mut twice = stopped(500, 3000);
-    let before = (twice.serves_until, twice.ends_by);
+    let before = (twice.keep_idle_until, twice.shutdown_deadline);
     assert!(!twice.stop(at(400), &classes(500, 3000)));
-    assert_eq!((twice.serves_until, twice.ends_by), before);
+    assert_eq!((twice.keep_idle_until, twice.shutdown_deadline), before);
 }
 
 // Nothing ends while it is owed, nor while new connections are taken; where time is left it goes on serving, and ends
@@ -67,20 +69,22 @@
 #[test]
 fn it_ends_once_nothing_is_owed_and_not_before() {
     let mut lifecycle = stopped(500, 3000);
-    for (listens, owed, clients) in [(true, false, false), (false, true, true), (false, false, true)] {
-        lifecycle.left(at(600), listens, owed, clients);
+    for (listening, responses_pending, clients_connected) in
+        [(true, false, false), (false, true, true), (false, false, true)]
+    {
+        lifecycle.check_completion(at(600), listening, responses_pending, clients_connected);
         assert_eq!(lifecycle.phase(), Phase::Stopping);
     }
-    let mut left_alone = lifecycle;
-    left_alone.left(at(600), false, false, false);
-    assert_eq!(left_alone.phase(), Phase::Ended);
-    lifecycle.pass(at(2500));
+    let mut without_clients = lifecycle;
+    without_clients.check_completion(at(600), false, false, false);
+    assert_eq!(without_clients.phase(), Phase::Ended);
+    lifecycle.advance(at(2500));
     assert!(lifecycle.is_closing());
-    lifecycle.left(at(2500), false, true, true);
+    lifecycle.check_completion(at(2500), false, true, true);
     assert_eq!(lifecycle.phase(), Phase::Closing);
-    lifecycle.left(at(2600), false, false, true);
-    assert_eq!((lifecycle.phase(), lifecycle.due()), (Phase::Lingering, Some(at(2800))));
-    lifecycle.left(at(2700), false, false, false);
+    lifecycle.check_completion(at(2600), false, false, true);
+    assert_eq!((lifecycle.phase(), lifecycle.next_transition()), (Phase::Lingering, Some(at(2800))));
+    lifecycle.check_completion(at(2700), false, false, false);
     assert_eq!(lifecycle.phase(), Phase::Ended);
 }
 
@@ -94,9 +98,9 @@
     for turn in 0..3 {
         let now = at(turn * 10);
         assert!(lifecycle.drain(now) && !lifecycle.drain(now.after(Duration::from_millis(5))));
-        assert_eq!(lifecycle.drain_rests_until, now.after(DRAIN_REST), "a second call puts nothing off");
+        assert_eq!(lifecycle.drain_idle_until, now.after(DRAIN_IDLE_TIME), "a second call puts nothing off");
         assert!(lifecycle.is_closing() && !lifecycle.is_serving() && !lifecycle.is_stopping());
-        lifecycle.left(now, false, false, false);
+        lifecycle.check_completion(now, false, false, false);
         assert_eq!(lifecycle.phase(), Phase::Drained, "a drained process does not end");
         assert!(lifecycle.resume() && !lifecycle.resume());
         assert!(lifecycle.is_serving() && !lifecycle.is_closing());
@@ -111,11 +115,11 @@
     lifecycle.started();
     lifecycle.drain(at(0));
     assert!(lifecycle.stop(at(100), &classes(500, 3000)));
-    assert_eq!((lifecycle.phase(), lifecycle.listens_until), (Phase::Closing, at(600)));
+    assert_eq!((lifecycle.phase(), lifecycle.listen_until), (Phase::Closing, at(600)));
     assert!(!lifecycle.resume() && !lifecycle.drain(at(200)));
-    lifecycle.left(at(1099), false, false, true);
+    lifecycle.check_completion(at(1099), false, false, true);
     assert_eq!(lifecycle.phase(), Phase::Closing, "the last that came may still ask");
-    lifecycle.left(at(1100), false, false, true);
+    lifecycle.check_completion(at(1100), false, false, true);
     assert_eq!(lifecycle.phase(), Phase::Lingering);
 }
 
@@ -125,10 +129,10 @@
 fn a_first_request_has_time_to_come_after_the_end_of_listening() {
     for (deadline, until) in [(3000, 1000), (400, 900)] {
         let mut lifecycle = stopped(5000, deadline);
-        assert_eq!((lifecycle.phase(), lifecycle.listens_until), (Phase::Closing, at(500)));
-        lifecycle.left(at(until - 1), false, false, true);
+        assert_eq!((lifecycle.phase(), lifecycle.listen_until), (Phase::Closing, at(500)));
+        lifecycle.check_completion(at(until - 1), false, false, true);
         assert_eq!(lifecycle.phase(), Phase::Closing);
-        lifecycle.left(at(until), false, false, true);
+        lifecycle.check_completion(at(until), false, false, true);
         assert_eq!(lifecycle.phase(), Phase::Lingering);
     }
 }
@@ -142,11 +146,11 @@
     lifecycle.set_handed_over(true);
     assert!(lifecycle.is_serving() && !lifecycle.is_closing());
     assert!(lifecycle.stop(at(0), &classes(500, 3000)));
-    assert_eq!((lifecycle.phase(), lifecycle.listens_until), (Phase::Closing, at(0)));
+    assert_eq!((lifecycle.phase(), lifecycle.listen_until), (Phase::Closing, at(0)));
     assert!(lifecycle.is_available() && !lifecycle.is_serving(), "the broker is up, in another process");
-    lifecycle.left(at(10), false, false, true);
+    lifecycle.check_completion(at(10), false, false, true);
     assert_eq!(lifecycle.phase(), Phase::Closing, "clients that rest have time");
-    lifecycle.left(lifecycle.serves_until, false, false, true);
+    lifecycle.check_completion(lifecycle.keep_idle_until, false, false, true);
     assert_eq!(lifecycle.phase(), Phase::Lingering);
 }
 
@@ -158,10 +162,10 @@
     lifecycle.started();
     lifecycle.set_handed_over(true);
     assert!(lifecycle.stop(at(0), &classes(5000, 3000)));
-    assert_eq!((lifecycle.phase(), lifecycle.serves_until), (Phase::Closing, at(500)));
-    lifecycle.left(at(499), false, false, true);
+    assert_eq!((lifecycle.phase(), lifecycle.keep_idle_until), (Phase::Closing, at(500)));
+    lifecycle.check_completion(at(499), false, false, true);
     assert_eq!(lifecycle.phase(), Phase::Closing);
-    lifecycle.left(at(500), false, false, true);
+    lifecycle.check_completion(at(500), false, false, true);
     assert_eq!(lifecycle.phase(), Phase::Lingering);
 }
 
