--- a/src/bin/badgergauge/store.rs
+++ b/src/bin/badgergauge/store.rs
@@ -77,10 +77,10 @@
     let known = config.known.as_ref().map(|known| Listing::from_value(known, &clock)).transpose();
     let known = known.map_err(|error| error.to_string())?;
     let discovery = config.discovery.map_or(String::new(), |at| at.to_string());
-    match state::beliefs(&clock, &discovery, known.as_ref(), &stored) {
-        Ok(beliefs) => {
-            for (name, belief) in beliefs {
-                println!("{name}: {:?}, {}", belief.status, belief.reason);
+    match state::resolve_stored(&clock, &discovery, known.as_ref(), &stored) {
+        Ok(resolutions) => {
+            for (name, resolution) in resolutions {
+                println!("{name}: {:?}, {}", resolution.status, resolution.reason);
             }
         }
         Err(why) => println!("nothing would be believed: {why}"),
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -35,7 +35,7 @@
 use crate::net::{Net, Ready, TimerEvent, bind_udp};
 use crate::record::TraceRecorder;
 use crate::state::StateStore;
-use crate::upgrade::{RENDEZVOUS, TO_PREDECESSOR, TO_SUCCESSOR, Upgrade};
+use crate::upgrade::{PREDECESSOR_KEY, RENDEZVOUS_KEY, SUCCESSOR_KEY, Upgrade};
 
 const LISTEN: usize = 0;
 const SIGNAL: usize = 1;
@@ -160,7 +160,7 @@
         let mut known = known.map_err(|fault| invalid(format!("known.{fault}")))?;
         let folder = is_operated.then(shared_folder).flatten();
         let (mut upgrade, offer) =
-            folder.map(|folder| Upgrade::begin(&folder, &config.name, config.listen)).unzip();
+            folder.map(|folder| Upgrade::start(&folder, &config.name, config.listen)).unzip();
         let offer = offer.flatten();
         known = newer_list(known, offer.as_ref(), &clock);
         let store = open_store(&config, clock, &mut known, offer.is_some())?;
@@ -187,7 +187,7 @@
             .take()
             .filter(|(_, all)| core.gossip_enabled() && all.len() == settings.router.front_nodes as usize);
         let peers = peers.map(|(at, all)| {
-            let adopted = upgrade.as_mut().and_then(|upgrade: &mut Upgrade| upgrade.take_datagrams(at));
+            let adopted = upgrade.as_mut().and_then(|upgrade: &mut Upgrade| upgrade.take_udp_socket(at));
             let socket = adopted.map_or_else(|| bind_udp(at, is_operated), Ok);
             socket.map(|socket| (socket, all))
         });
@@ -247,7 +247,7 @@
         }
         broker.lifecycle.started();
         if let Some(upgrade) = broker.upgrade.as_mut().filter(|_| broker.lifecycle.is_serving()) {
-            upgrade.listening(&broker.net);
+            upgrade.now_listening(&broker.net);
         }
         let ms = |from: Time, to: Time| to.since(from).as_secs_f64() * 1e3;
         let ready = broker.net.clock.now();
@@ -358,13 +358,13 @@
             SIGNAL => self.signalled(now),
             WATCH => self.watch_ready(now),
             PEERS => self.hear(),
-            RENDEZVOUS => {
+            RENDEZVOUS_KEY => {
                 if let Some(upgrade) = &mut self.upgrade {
-                    upgrade.accept(&self.net);
+                    upgrade.accept_successors(&self.net);
                 }
             }
-            TO_SUCCESSOR => self.successor_ready(now),
-            TO_PREDECESSOR => self.predecessor_ready(now),
+            SUCCESSOR_KEY => self.successor_ready(now),
+            PREDECESSOR_KEY => self.predecessor_ready(now),
             _ if self.backend.ready(&mut self.net, now, key, readable) => {}
             _ => {
                 if let Some(client) = self.clients.get_mut(&key) {
@@ -433,7 +433,7 @@
         let mut commands = std::mem::take(&mut self.commands);
         self.core.step(now, &mut commands);
         if let Some(trace) = &mut self.trace {
-            trace.take(&mut self.core);
+            trace.record_step(&mut self.core);
         }
         let now = self.look_again(now);
         for command in commands.drain(..) {
--- a/src/broker/discovery.rs
+++ b/src/broker/discovery.rs
@@ -64,7 +64,7 @@
                 .arm(until.unwrap_or(now), TimerEvent::DrainGraceExpired(self.core.server_id(&member.name)));
         }
         if let Some(store) = &mut self.store {
-            store.note(list);
+            store.record_list(list);
         }
     }
 
--- a/src/broker/signals.rs
+++ b/src/broker/signals.rs
@@ -69,7 +69,7 @@
         }
         tracing::info!("reload: discovery is now at {address}, {} open", self.core.open_queries());
         if let Some(store) = &mut self.store {
-            store.moved(address);
+            store.set_discovery(address);
         }
         if let Some(stream) = watch.move_to(address) {
             self.net.poll.remove(&stream);
--- a/src/broker/upgrade.rs
+++ b/src/broker/upgrade.rs
@@ -12,7 +12,7 @@
 use crate::interface::Time;
 use crate::net::clock::Clock;
 use crate::state::StateStore;
-use crate::upgrade::PredecessorNews;
+use crate::upgrade::PredecessorUpdate;
 
 impl Broker {
     /// The channel to the successor is ready.
@@ -46,7 +46,7 @@
         }
         let list = self.watch.as_ref().map(|watch| watch.listing().to_value(&self.net.clock).to_string());
         let offer = Offer { roles, clients: self.clients.len(), snapshot, list };
-        upgrade.offer(&self.net, offer, &sockets);
+        upgrade.send_offer(&self.net, offer, &sockets);
         self.most_clients = self.most_clients.min(limits.predecessor);
         tracing::info!("upgrade: a new process has the listening sockets and gets ready");
     }
@@ -69,8 +69,8 @@
         self.core.suspend_budgets();
         let spending = self.core.spending(now, self.snapshot_taken);
         if let Some(upgrade) = &mut self.upgrade {
-            upgrade.leave_rendezvous(&self.net);
-            upgrade.tell_spending(&self.net, serde_json::to_string(&spending).unwrap_or_default());
+            upgrade.close_rendezvous(&self.net);
+            upgrade.send_spending(&self.net, serde_json::to_string(&spending).unwrap_or_default());
         }
         self.lifecycle.set_handed_over(true);
         tracing::info!("upgrade: the new process takes clients, {} are left here", self.clients.len());
@@ -94,7 +94,7 @@
             let _ = self.net.poll.add(socket, PEERS, true, false);
         }
         if let Some(upgrade) = &mut self.upgrade {
-            upgrade.await_successor(&self.net);
+            upgrade.listen_for_successor(&self.net);
         }
         self.lifecycle.set_handed_over(false);
         self.most_clients = self.most_clients_alone;
@@ -105,9 +105,9 @@
     pub(super) fn predecessor_ready(&mut self, now: Time) {
         let Some(upgrade) = &mut self.upgrade else { return };
         match upgrade.predecessor_ready(&self.net) {
-            PredecessorNews::None => {}
-            PredecessorNews::Spending(spending) => self.take_budgets_over(now, &spending),
-            PredecessorNews::Ended => {
+            PredecessorUpdate::None => {}
+            PredecessorUpdate::Spending(spending) => self.take_budgets_over(now, &spending),
+            PredecessorUpdate::Ended => {
                 self.core.limit_budget_suspension(now);
                 self.most_clients = self.most_clients_alone;
                 tracing::info!("upgrade: the old process has ended");
@@ -127,7 +127,7 @@
             Err(error) => tracing::warn!("upgrade: {error}: nothing is stored until the next start"),
         }
         if let (Some(store), Some(watch)) = (&mut self.store, &self.watch) {
-            store.note(&watch.listing());
+            store.record_list(&watch.listing());
         }
     }
 
--- a/src/log.rs
+++ b/src/log.rs
@@ -16,18 +16,18 @@
 use crate::config::service::Log;
 
 /// Lines that may wait for the reader.
-const LINES: usize = 1024;
+const MAX_QUEUED_LINES: usize = 1024;
 
 /// Keeps the log going; what waits is written when it is dropped, as far as the reader takes it.
 pub struct Guard {
     _worker: WorkerGuard,
-    lost: ErrorCounter,
+    dropped: ErrorCounter,
 }
 
 impl Guard {
     /// Lines that were dropped so far.
-    pub fn lost(&self) -> usize {
-        self.lost.dropped_lines()
+    pub fn dropped_lines(&self) -> usize {
+        self.dropped.dropped_lines()
     }
 }
 
@@ -38,34 +38,37 @@
 /// When it goes somewhere already.
 pub fn start(log: Log) -> Result<Guard, String> {
     let (writer, guard) = writer(io::stderr());
-    let said = if log.json {
+    let started = if log.json {
         let builder = tracing_subscriber::fmt().json().flatten_event(true).with_target(false);
         builder.with_max_level(log.level).with_writer(writer).try_init()
     } else {
-        let builder = tracing_subscriber::fmt().event_format(Plain);
+        let builder = tracing_subscriber::fmt().event_format(PlainFormat);
         builder.with_max_level(log.level).with_writer(writer).try_init()
     };
-    said.map(|()| guard).map_err(|error| error.to_string())
+    started.map(|()| guard).map_err(|error| error.to_string())
 }
 
 fn writer(to: impl io::Write + Send + 'static) -> (impl for<'a> MakeWriter<'a> + 'static, Guard) {
-    let (writer, worker) =
-        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES).thread_name("log").finish(to);
-    let lost = writer.error_counter();
-    (writer, Guard { _worker: worker, lost })
+    let (writer, worker) = NonBlockingBuilder::default()
+        .lossy(true)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
+        .thread_name("log")
+        .finish(to);
+    let dropped = writer.error_counter();
+    (writer, Guard { _worker: worker, dropped })
 }
 
-/// `badgergauge: words field=value`, with the level before the words where it is not the usual one.
-struct Plain;
+/// `badgergauge: text field=value`, with the level before the text where it is not the usual one.
+struct PlainFormat;
 
-impl<S, N> FormatEvent<S, N> for Plain
+impl<S, N> FormatEvent<S, N> for PlainFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(&self, _: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        let mut words = Words::default();
-        event.record(&mut words);
+        let mut text = EventText::default();
+        event.record(&mut text);
         let level = match *event.metadata().level() {
             Level::ERROR => "error: ",
             Level::WARN => "warning: ",
@@ -73,18 +76,18 @@
             Level::DEBUG => "debug: ",
             Level::TRACE => "trace: ",
         };
-        writeln!(to, "badgergauge: {level}{}{}", words.message, words.fields)
+        writeln!(to, "badgergauge: {level}{}{}", text.message, text.fields)
     }
 }
 
 /// An event's message and its fields. Line ends in them are written as escapes: an event is one line.
 #[derive(Default)]
-struct Words {
+struct EventText {
     message: String,
     fields: String,
 }
 
-impl Visit for Words {
+impl Visit for EventText {
     fn record_str(&mut self, field: &Field, value: &str) {
         self.record_debug(field, &format_args!("{value}"));
     }
@@ -106,15 +109,15 @@
     use super::*;
 
     /// A reader that takes nothing until it is let, as a full pipe does.
-    struct Full {
+    struct BlockedReader {
         blocked: Receiver<()>,
-        taken: Sender<String>,
+        written: Sender<String>,
     }
 
-    impl io::Write for Full {
+    impl io::Write for BlockedReader {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
             let _ = self.blocked.recv();
-            let _ = self.taken.send(String::from_utf8_lossy(bytes).into_owned());
+            let _ = self.written.send(String::from_utf8_lossy(bytes).into_owned());
             Ok(bytes.len())
         }
 
@@ -127,17 +130,21 @@
     // lines keep their form. The calls below would never return if the writer were waited for.
     #[test]
     fn a_log_that_nobody_reads_stops_nobody() {
-        let ((open, blocked), (taken, lines)) = (channel(), channel());
-        let (writer, guard) = writer(Full { blocked, taken });
-        let subscriber = tracing_subscriber::fmt().event_format(Plain).with_writer(writer).finish();
+        let ((open, blocked), (written, lines)) = (channel(), channel());
+        let (writer, guard) = writer(BlockedReader { blocked, written });
+        let subscriber = tracing_subscriber::fmt().event_format(PlainFormat).with_writer(writer).finish();
         tracing::subscriber::with_default(subscriber, || {
             tracing::warn!(server = "s-1", open = 3, "two\nlines");
-            for line in 0..2 * LINES {
+            for line in 0..2 * MAX_QUEUED_LINES {
                 tracing::info!("line {line}");
             }
         });
         // One line may be with the thread already, or none.
-        assert!((LINES..=LINES + 1).contains(&guard.lost()), "{}", guard.lost());
+        assert!(
+            (MAX_QUEUED_LINES..=MAX_QUEUED_LINES + 1).contains(&guard.dropped_lines()),
+            "{}",
+            guard.dropped_lines()
+        );
         drop(open);
         assert_eq!(lines.recv().as_deref(), Ok("badgergauge: warning: two\\nlines server=s-1 open=3\n"));
         assert_eq!(lines.recv().as_deref(), Ok("badgergauge: line 0\n"));
--- a/src/record.rs
+++ b/src/record.rs
@@ -17,7 +17,7 @@
 pub struct TraceRecorder {
     recorder: Recorder,
     settings: Trace,
-    last: u64,
+    last_sequence: u64,
 }
 
 fn limits(trace: &Trace) -> Limits {
@@ -32,10 +32,10 @@
     /// When the folder can't be used.
     pub fn start(config: &Config, clock: &Clock, core: &mut Core) -> io::Result<Option<Self>> {
         let Some(trace) = config.service.trace.clone() else { return Ok(None) };
-        let named = |error: io::Error| {
+        let trace_dir_error = |error: io::Error| {
             io::Error::new(error.kind(), format!("trace.dir: {}: {error}", trace.dir.display()))
         };
-        let directory = Directory::open(&trace.dir, &config.name).map_err(named)?;
+        let directory = Directory::open(&trace.dir, &config.name).map_err(trace_dir_error)?;
         let sampled = trace.sample.iter().any(|share| *share < 1.0);
         let source = Source {
             broker: config.name.clone(),
@@ -50,18 +50,18 @@
             moved: 0,
         };
         let options = RecorderOptions { source, limits: limits(&trace), queue: trace.queue };
-        let recorder = Recorder::start(options, Box::new(directory)).map_err(named)?;
+        let recorder = Recorder::start(options, Box::new(directory)).map_err(trace_dir_error)?;
         core.enable_recording();
         core.add_note("started");
         tracing::info!("trace: recording to {}", trace.dir.display());
-        Ok(Some(TraceRecorder { recorder, settings: trace, last: 0 }))
+        Ok(Some(TraceRecorder { recorder, settings: trace, last_sequence: 0 }))
     }
 
     /// Hands over what the core's last step was about.
-    pub fn take(&mut self, core: &mut Core) {
-        let Some(observed) = core.take_step_record() else { return };
-        let (record, names) = from_step_record(observed);
-        self.last = record.sequence;
+    pub fn record_step(&mut self, core: &mut Core) {
+        let Some(step) = core.take_step_record() else { return };
+        let (record, names) = from_step_record(step);
+        self.last_sequence = record.sequence;
         self.recorder.offer(record, names);
     }
 
@@ -71,9 +71,11 @@
         let (changed, limits) = match trace {
             None => (true, None),
             Some(trace) => {
-                let now = &self.settings;
-                let other = trace.dir != now.dir || trace.queue != now.queue || trace.sample != now.sample;
-                (other, Some(limits(trace)))
+                let running = &self.settings;
+                let differs = trace.dir != running.dir
+                    || trace.queue != running.queue
+                    || trace.sample != running.sample;
+                (differs, Some(limits(trace)))
             }
         };
         if self.recorder.rotate(limits) {
@@ -86,8 +88,12 @@
 
     /// Writes what was handed over, and that the broker ends.
     pub fn close(mut self, now: Time) {
-        let record =
-            Record { sequence: self.last + 1, time: now, note: "ended".to_owned(), ..Record::default() };
+        let record = Record {
+            sequence: self.last_sequence + 1,
+            time: now,
+            note: "ended".to_owned(),
+            ..Record::default()
+        };
         self.recorder.offer(record, Vec::new());
         if !self.recorder.close() {
             tracing::warn!("trace: the disk did not take the last steps in time");
--- a/src/state.rs
+++ b/src/state.rs
@@ -20,10 +20,10 @@
 
 /// Whatever discovery has to tell counts as told so much later at the latest, says the protocol: an `up` that was
 /// noted longer ago may have been taken back since.
-const UP_FOR: Duration = Duration::from_secs(6);
+const UP_VALIDITY: Duration = Duration::from_secs(6);
 /// Servers that are gone are kept, as a list of old may still have them: as many as there are in the list, and so
 /// many at the least. The oldest go first.
-const LEAST_GONE: usize = 64;
+const MIN_REMOVED_KEPT: usize = 64;
 
 /// The store of a running broker.
 pub struct StateStore {
@@ -31,10 +31,10 @@
     clock: Clock,
     discovery: String,
     listed: BTreeSet<String>,
-    gone: VecDeque<String>,
+    removed: VecDeque<String>,
 }
 
-fn standing(state: ServerState) -> ServerStatus {
+fn status_of(state: ServerState) -> ServerStatus {
     match state {
         ServerState::Up => ServerStatus::Up,
         ServerState::Draining => ServerStatus::Draining,
@@ -44,12 +44,12 @@
 
 /// Whose store a broker's is. The installation is told by what its list and its queries hang on.
 pub fn owner(config: &Config) -> Owner {
-    let module = &config.settings.router;
-    let site = format!(
+    let router = &config.settings.router;
+    let site_text = format!(
         "{:?} {:?} {} {} {}",
-        config.settings.zones, config.settings.classes, module.shards, module.cells, module.width
+        config.settings.zones, config.settings.classes, router.shards, router.cells, router.width
     );
-    Owner { name: config.name.clone(), site: format!("{:08x}", checksum("site", site.as_bytes())) }
+    Owner { name: config.name.clone(), site: format!("{:08x}", checksum("site", site_text.as_bytes())) }
 }
 
 /// Unix time, in milliseconds.
@@ -62,7 +62,7 @@
 /// # Errors
 ///
 /// Says why nothing is believed.
-pub fn beliefs(
+pub fn resolve_stored(
     clock: &Clock,
     discovery: &str,
     known: Option<&Listing>,
@@ -71,26 +71,26 @@
     let members = known.map_or(&[][..], |list| &list.members);
     let listed = members.iter().map(|(member, _)| {
         let started_ms = clock.unix_ms(member.started);
-        (member.name.clone(), ListedServer { status: standing(member.state), started_ms })
+        (member.name.clone(), ListedServer { status: status_of(member.state), started_ms })
     });
     let index = known.map_or(0, |list| list.index);
-    reconcile(unix_ms(), UP_FOR.as_millis() as u64, discovery, index, &listed.collect(), stored)
+    reconcile(unix_ms(), UP_VALIDITY.as_millis() as u64, discovery, index, &listed.collect(), stored)
         .map_err(|_| format!("it came from another discovery, {:?}", stored.discovery))
 }
 
 /// The list as it is believed.
-fn believed(
+fn apply_resolutions(
     clock: &Clock,
     known: Option<Listing>,
-    beliefs: &BTreeMap<String, Resolution>,
+    resolutions: &BTreeMap<String, Resolution>,
     stored: &StoredState,
 ) -> Listing {
     let known = known.unwrap_or(Listing { index: 0, whole: true, members: Vec::new() });
     let mut members: BTreeMap<String, (Member, Option<SocketAddr>)> =
         known.members.into_iter().map(|line| (line.0.name.clone(), line)).collect();
-    for (name, belief) in beliefs.iter().filter(|(_, belief)| belief.from_store) {
+    for (name, resolution) in resolutions.iter().filter(|(_, resolution)| resolution.from_store) {
         let Some(server) = stored.servers.get(name) else { continue };
-        let state = match belief.status {
+        let state = match resolution.status {
             ServerStatus::Up if server.address.is_some() => ServerState::Up,
             ServerStatus::Draining => ServerState::Draining,
             ServerStatus::Up | ServerStatus::Gone => {
@@ -117,75 +117,74 @@
         let (Some(path), Some(discovery)) = (&config.service.store, config.discovery) else {
             return Ok(None);
         };
-        let refused = |fault: StoreError| {
+        let open_error = |error: StoreError| {
             let kind =
-                if fault == StoreError::Locked { io::ErrorKind::AddrInUse } else { io::ErrorKind::Other };
-            io::Error::new(kind, format!("store {}: {fault}", path.display()))
+                if error == StoreError::Locked { io::ErrorKind::AddrInUse } else { io::ErrorKind::Other };
+            io::Error::new(kind, format!("store {}: {error}", path.display()))
         };
         let owner = owner(config);
         let (store, stored) = match Store::open(path, &owner) {
             Ok(opened) => opened,
-            Err(fault @ (StoreError::Locked | StoreError::Io(_))) => return Err(refused(fault)),
-            Err(fault) => {
-                let aside = set_aside(path)?;
-                tracing::warn!("store: set aside as {}: {fault}", aside.display());
-                Store::open(path, &owner).map_err(refused)?
+            Err(error @ (StoreError::Locked | StoreError::Io(_))) => return Err(open_error(error)),
+            Err(error) => {
+                let moved_to = set_aside(path)?;
+                tracing::warn!("store: set aside as {}: {error}", moved_to.display());
+                Store::open(path, &owner).map_err(open_error)?
             }
         };
         let discovery = discovery.to_string();
-        tell(path, &stored, store.header().opened);
-        let mut keeper = StateStore {
-            writer: Writer::start(store, |fault| tracing::warn!("store: not written: {fault}"))?,
+        log_opened(path, &stored, store.header().opened);
+        let mut state_store = StateStore {
+            writer: Writer::start(store, |error| tracing::warn!("store: not written: {error}"))?,
             clock,
             discovery,
             listed: BTreeSet::new(),
-            gone: VecDeque::new(),
+            removed: VecDeque::new(),
         };
         if stored.servers.is_empty() {
-            return Ok(Some(keeper));
+            return Ok(Some(state_store));
         }
-        match beliefs(&clock, &keeper.discovery, known.as_ref(), &stored) {
-            Ok(beliefs) => {
-                for (name, belief) in
-                    beliefs.iter().filter(|(_, b)| b.from_store && b.reason != Reason::Listed)
+        match resolve_stored(&clock, &state_store.discovery, known.as_ref(), &stored) {
+            Ok(resolutions) => {
+                for (name, resolution) in
+                    resolutions.iter().filter(|(_, r)| r.from_store && r.reason != Reason::Listed)
                 {
-                    tracing::info!("store: {name}: {}", belief.reason);
+                    tracing::info!("store: {name}: {}", resolution.reason);
                 }
-                *known = Some(believed(&clock, known.take(), &beliefs, &stored));
+                *known = Some(apply_resolutions(&clock, known.take(), &resolutions, &stored));
             }
-            Err(why) => tracing::warn!("store: nothing of it is believed: {why}"),
+            Err(reason) => tracing::warn!("store: nothing of it is believed: {reason}"),
         }
         for (name, server) in stored.servers {
             match server.status {
-                ServerStatus::Gone => keeper.gone.push_back(name),
-                _ => drop(keeper.listed.insert(name)),
+                ServerStatus::Gone => state_store.removed.push_back(name),
+                _ => drop(state_store.listed.insert(name)),
             }
         }
-        Ok(Some(keeper))
+        Ok(Some(state_store))
     }
 
     /// Notes a list of discovery's.
-    pub fn note(&mut self, list: &Listing) {
+    pub fn record_list(&mut self, list: &Listing) {
         let noted_ms = unix_ms();
         let mut changes = BTreeMap::new();
-        let mut here = BTreeSet::new();
+        let mut present = BTreeSet::new();
         for (member, address) in &list.members {
             let (zone, cell) = (member.zone.clone(), member.cell);
-            let (standing, started_ms) = (standing(member.state), self.clock.unix_ms(member.started));
-            let server =
-                ServerRecord { status: standing, zone, cell, address: *address, started_ms, noted_ms };
-            if standing == ServerStatus::Gone {
-                self.leaves(&member.name);
+            let (status, started_ms) = (status_of(member.state), self.clock.unix_ms(member.started));
+            let server = ServerRecord { status, zone, cell, address: *address, started_ms, noted_ms };
+            if status == ServerStatus::Gone {
+                self.mark_removed(&member.name);
             } else {
                 self.listed.insert(member.name.clone());
-                self.gone.retain(|name| *name != member.name);
-                here.insert(member.name.clone());
+                self.removed.retain(|name| *name != member.name);
+                present.insert(member.name.clone());
             }
             changes.insert(member.name.clone(), Some(server));
         }
         if list.whole {
             // A whole list tells by leaving out: whatever process an older list may name, it is not there.
-            for name in self.listed.difference(&here).cloned().collect::<Vec<_>>() {
+            for name in self.listed.difference(&present).cloned().collect::<Vec<_>>() {
                 let (zone, address) = (String::new(), None);
                 let server = ServerRecord {
                     status: ServerStatus::Gone,
@@ -196,29 +195,29 @@
                     noted_ms,
                 };
                 changes.insert(name.clone(), Some(server));
-                self.leaves(&name);
+                self.mark_removed(&name);
             }
         }
-        while self.gone.len() > self.listed.len().max(LEAST_GONE) {
-            let oldest = self.gone.pop_front().unwrap_or_default();
+        while self.removed.len() > self.listed.len().max(MIN_REMOVED_KEPT) {
+            let oldest = self.removed.pop_front().unwrap_or_default();
             changes.insert(oldest, None);
         }
         self.writer.enqueue(changes, Some((self.discovery.clone(), list.index)));
     }
 
     /// From now on lists come from another discovery.
-    pub fn moved(&mut self, discovery: SocketAddr) {
+    pub fn set_discovery(&mut self, discovery: SocketAddr) {
         self.discovery = discovery.to_string();
     }
 
-    fn leaves(&mut self, name: &str) {
+    fn mark_removed(&mut self, name: &str) {
         if self.listed.remove(name) {
-            self.gone.push_back(name.to_owned());
+            self.removed.push_back(name.to_owned());
         }
     }
 }
 
-fn tell(path: &Path, stored: &StoredState, opened: u64) {
+fn log_opened(path: &Path, stored: &StoredState, opened: u64) {
     let newest = stored.servers.values().map(|server| server.noted_ms).max();
     let age = newest.map_or(String::new(), |at| {
         format!(", noted {:.1} s ago at the latest", unix_ms().saturating_sub(at) as f64 / 1e3)
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -13,31 +13,31 @@
     let _ = std::fs::remove_file(&path);
     let owner = Owner { name: "b0".into(), site: "s".into() };
     let (store, _) = Store::open(&path, &owner).expect("opens");
-    let mut keeper = StateStore {
-        writer: Writer::start(store, |fault| panic!("{fault}")).expect("starts"),
+    let mut state_store = StateStore {
+        writer: Writer::start(store, |error| panic!("{error}")).expect("starts"),
         clock: Clock::start(),
         discovery: "d".into(),
         listed: BTreeSet::new(),
-        gone: VecDeque::new(),
+        removed: VecDeque::new(),
     };
     let whole = |index, members| Listing { index, whole: true, members };
-    keeper.note(&whole(1, vec![member("a", ServerState::Up), member("b", ServerState::Up)]));
-    keeper.note(&whole(2, vec![member("a", ServerState::Draining)]));
+    state_store.record_list(&whole(1, vec![member("a", ServerState::Up), member("b", ServerState::Up)]));
+    state_store.record_list(&whole(2, vec![member("a", ServerState::Draining)]));
     let changed = vec![member("c", ServerState::Up)];
-    keeper.note(&Listing { index: 3, whole: false, members: changed });
+    state_store.record_list(&Listing { index: 3, whole: false, members: changed });
     for n in 0..300 {
         let gone = vec![member(&format!("x{n}"), ServerState::Up)];
-        keeper.note(&Listing { index: 4 + n, whole: false, members: gone });
+        state_store.record_list(&Listing { index: 4 + n, whole: false, members: gone });
         let gone = vec![member(&format!("x{n}"), ServerState::Removed)];
-        keeper.note(&Listing { index: 4 + n, whole: false, members: gone });
+        state_store.record_list(&Listing { index: 4 + n, whole: false, members: gone });
     }
-    drop(keeper);
+    drop(state_store);
     let (_, stored) = Store::open(&path, &owner).expect("opens");
-    let standing = |name: &str| stored.servers.get(name).map(|server| server.status);
-    assert_eq!(standing("a"), Some(ServerStatus::Draining));
-    assert_eq!((standing("c"), standing("x299")), (Some(ServerStatus::Up), Some(ServerStatus::Gone)));
-    assert_eq!((standing("b"), standing("x0")), (None, None), "the oldest went first");
-    assert_eq!(stored.servers.len(), 2 + LEAST_GONE);
+    let status = |name: &str| stored.servers.get(name).map(|server| server.status);
+    assert_eq!(status("a"), Some(ServerStatus::Draining));
+    assert_eq!((status("c"), status("x299")), (Some(ServerStatus::Up), Some(ServerStatus::Gone)));
+    assert_eq!((status("b"), status("x0")), (None, None), "the oldest went first");
+    assert_eq!(stored.servers.len(), 2 + MIN_REMOVED_KEPT);
     std::fs::remove_file(&path).expect("there");
 }
 
@@ -54,8 +54,8 @@
             member("new", ServerState::Up),
         ],
     };
-    let server = |standing, address: Option<&str>| ServerRecord {
-        status: standing,
+    let server = |status, address: Option<&str>| ServerRecord {
+        status,
         zone: "z".into(),
         cell: 1,
         address: address.and_then(|at| at.parse().ok()),
@@ -72,8 +72,8 @@
             ("nowhere".into(), server(ServerStatus::Up, None)),
         ]),
     };
-    let beliefs = beliefs(&clock, "d", Some(&known), &stored).expect("the same discovery");
-    let list = believed(&clock, Some(known), &beliefs, &stored);
+    let resolutions = resolve_stored(&clock, "d", Some(&known), &stored).expect("the same discovery");
+    let list = apply_resolutions(&clock, Some(known), &resolutions, &stored);
     let lines: Vec<_> =
         list.members.iter().map(|(m, at)| (m.name.as_str(), m.state, at.map(|at| at.port()))).collect();
     let expected = [
--- a/src/upgrade.rs
+++ b/src/upgrade.rs
@@ -15,18 +15,18 @@
 use crate::net::Net;
 
 /// The poller's key of the socket where a successor connects.
-pub const RENDEZVOUS: usize = 5;
+pub const RENDEZVOUS_KEY: usize = 5;
 /// The poller's key of the channel to the successor.
-pub const TO_SUCCESSOR: usize = 6;
+pub const SUCCESSOR_KEY: usize = 6;
 /// The poller's key of the channel to the predecessor.
-pub const TO_PREDECESSOR: usize = 7;
+pub const PREDECESSOR_KEY: usize = 7;
 
 /// How long a start waits for its predecessor's answer: the predecessor may be in the middle of a step.
-const OFFER_TIME: Duration = Duration::from_secs(1);
+const OFFER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What the predecessor's channel has brought.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PredecessorNews {
+pub enum PredecessorUpdate {
     /// Nothing.
     None,
     /// What the predecessor has spent of the limits that hold for both, as its module encodes it.
@@ -42,34 +42,34 @@
     listener: Option<UnixListener>,
     successor: Successor,
     /// Another process takes over from the predecessor: what waits for successors is that one's.
-    refused_as_busy: bool,
-    to_predecessor: Option<Channel>,
+    predecessor_busy: bool,
+    predecessor_channel: Option<Channel>,
     /// What the predecessor gave and has not been taken into use.
     adopted: Vec<(SocketRole, OwnedFd)>,
     predecessor: Predecessor,
-    to_successor: Option<Channel>,
+    successor_channel: Option<Channel>,
 }
 
 impl Upgrade {
     /// Asks a process that runs under this name and address, if there is one, and waits a moment for its offer.
-    pub fn begin(folder: &Path, name: &str, listen: SocketAddr) -> (Self, Option<Offer>) {
+    pub fn start(directory: &Path, name: &str, listen: SocketAddr) -> (Self, Option<Offer>) {
         let request = Request { version: VERSION, name: name.to_owned(), listen };
         let mut upgrade = Upgrade {
-            rendezvous: Rendezvous::new(folder, name, listen),
+            rendezvous: Rendezvous::new(directory, name, listen),
             request,
             listener: None,
             successor: Successor::alone(),
-            refused_as_busy: false,
-            to_predecessor: None,
+            predecessor_busy: false,
+            predecessor_channel: None,
             adopted: Vec::new(),
             predecessor: Predecessor::new(name.to_owned(), listen),
-            to_successor: None,
+            successor_channel: None,
         };
-        let offer = upgrade.ask_predecessor();
+        let offer = upgrade.request_hand_over();
         (upgrade, offer)
     }
 
-    fn ask_predecessor(&mut self) -> Option<Offer> {
+    fn request_hand_over(&mut self) -> Option<Offer> {
         let channel = match self.rendezvous.connect() {
             Ok(channel) => channel?,
             Err(error) => {
@@ -86,13 +86,13 @@
             }
         };
         if let SuccessorEvent::Refused(refusal) = &event {
-            self.refused_as_busy = *refusal == Refusal::Busy;
+            self.predecessor_busy = *refusal == Refusal::Busy;
             tracing::warn!("upgrade: no sockets taken over: the running process refused: {refusal:?}");
         }
         match self.successor.handle(event) {
             SuccessorAction::Adopt(offer) => Some(offer),
             _ => {
-                self.to_predecessor = None;
+                self.predecessor_channel = None;
                 self.adopted.clear();
                 None
             }
@@ -101,16 +101,16 @@
 
     /// Sends the request and waits for what comes back. This is before the loop runs, so it may wait.
     fn await_offer(&mut self, mut channel: Channel) -> Result<SuccessorEvent, ChannelError> {
-        let until = Instant::now() + OFFER_TIME;
-        channel.stream().set_write_timeout(Some(OFFER_TIME))?;
+        let deadline = Instant::now() + OFFER_TIMEOUT;
+        channel.stream().set_write_timeout(Some(OFFER_TIMEOUT))?;
         // A process that is busy says so and closes before it reads: its word is there though the request found nobody.
         let sent = channel.send(&Message::Request(self.request.clone()), &[]);
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Ok(SuccessorEvent::NoAnswer);
             }
-            channel.stream().set_read_timeout(Some(left))?;
+            channel.stream().set_read_timeout(Some(remaining))?;
             let received = match (channel.receive(), sent.is_ok()) {
                 (Err(_), false) => return sent.map(|()| SuccessorEvent::NoAnswer),
                 (received, _) => received?,
@@ -120,7 +120,7 @@
                 Message::Offer(offer) if offer.roles.len() == received.sockets.len() => {
                     self.adopted = offer.roles.iter().copied().zip(received.sockets).collect();
                     channel.stream().set_nonblocking(true)?;
-                    self.to_predecessor = Some(channel);
+                    self.predecessor_channel = Some(channel);
                     return Ok(SuccessorEvent::Offered(offer));
                 }
                 Message::Refusal(refusal) => return Ok(SuccessorEvent::Refused(refusal)),
@@ -129,53 +129,53 @@
         }
     }
 
-    fn take_adopted(&mut self, role: SocketRole) -> Option<OwnedFd> {
-        let at = self.adopted.iter().position(|(given, _)| *given == role)?;
-        Some(self.adopted.swap_remove(at).1)
+    fn take_adopted_socket(&mut self, role: SocketRole) -> Option<OwnedFd> {
+        let index = self.adopted.iter().position(|(offered, _)| *offered == role)?;
+        Some(self.adopted.swap_remove(index).1)
     }
 
     /// The predecessor's listener for this role, if it listens at this address.
     pub fn take_listener(&mut self, role: SocketRole, address: SocketAddr) -> Option<TcpListener> {
-        let listener = TcpListener::from(self.take_adopted(role)?);
+        let listener = TcpListener::from(self.take_adopted_socket(role)?);
         let bound = listener.local_addr().ok()?;
-        is_at(bound, address).then_some(listener)
+        is_bound_to(bound, address).then_some(listener)
     }
 
     /// The predecessor's socket for datagrams, if it is bound to this address.
-    pub fn take_datagrams(&mut self, address: SocketAddr) -> Option<UdpSocket> {
-        let socket = UdpSocket::from(self.take_adopted(SocketRole::Peers)?);
+    pub fn take_udp_socket(&mut self, address: SocketAddr) -> Option<UdpSocket> {
+        let socket = UdpSocket::from(self.take_adopted_socket(SocketRole::Peers)?);
         let bound = socket.local_addr().ok()?;
-        is_at(bound, address).then_some(socket)
+        is_bound_to(bound, address).then_some(socket)
     }
 
     /// This process takes clients: its predecessor may stop, and its own successor may come.
-    pub fn listening(&mut self, net: &Net) {
+    pub fn now_listening(&mut self, net: &Net) {
         // What was given and is not used would hold clients that nobody accepts.
         self.adopted.clear();
         if self.successor.handle(SuccessorEvent::Listening) == SuccessorAction::AnnounceReady {
             self.announce_ready(net);
         }
-        self.await_successor(net);
+        self.listen_for_successor(net);
     }
 
     fn announce_ready(&mut self, net: &Net) {
-        let Some(channel) = &mut self.to_predecessor else { return };
+        let Some(channel) = &mut self.predecessor_channel else { return };
         // A predecessor that can't be told has ended, which the poller reports.
         let _ = channel.send(&Message::Ready, &[]);
-        let _ = net.poll.add(channel.stream(), TO_PREDECESSOR, true, false);
+        let _ = net.poll.add(channel.stream(), PREDECESSOR_KEY, true, false);
     }
 
     /// Listens for a successor.
-    pub fn await_successor(&mut self, net: &Net) {
+    pub fn listen_for_successor(&mut self, net: &Net) {
         // Two processes run already. Were the path taken from the one that takes over, the next upgrade would have the
         // sockets of this one, and leave the other's clients without a successor.
-        let listener = match self.refused_as_busy {
+        let listener = match self.predecessor_busy {
             true => self.rendezvous.listen_if_free(),
             false => self.rendezvous.listen(),
         };
         match listener {
             Ok(listener) => {
-                if net.poll.add(&listener, RENDEZVOUS, true, false).is_ok() {
+                if net.poll.add(&listener, RENDEZVOUS_KEY, true, false).is_ok() {
                     self.listener = Some(listener);
                 }
             }
@@ -184,44 +184,44 @@
     }
 
     /// Takes no further successors: the one there is has the path.
-    pub fn leave_rendezvous(&mut self, net: &Net) {
+    pub fn close_rendezvous(&mut self, net: &Net) {
         if let Some(listener) = self.listener.take() {
             net.poll.remove(&listener);
         }
     }
 
     /// Takes the connections of successors that wait.
-    pub fn accept(&mut self, net: &Net) {
+    pub fn accept_successors(&mut self, net: &Net) {
         let Some(listener) = &self.listener else { return };
         while let Ok((stream, _)) = listener.accept() {
-            match Self::open(stream) {
+            match Self::open_channel(stream) {
                 Ok(channel) if self.predecessor.phase() == PredecessorPhase::Waiting => {
-                    if let Some(silent) = self.to_successor.take() {
-                        net.poll.remove(silent.stream());
+                    if let Some(abandoned) = self.successor_channel.take() {
+                        net.poll.remove(abandoned.stream());
                     }
-                    if net.poll.add(channel.stream(), TO_SUCCESSOR, true, false).is_ok() {
-                        self.to_successor = Some(channel);
+                    if net.poll.add(channel.stream(), SUCCESSOR_KEY, true, false).is_ok() {
+                        self.successor_channel = Some(channel);
                     }
                 }
                 Ok(mut channel) => drop(channel.send(&Message::Refusal(Refusal::Busy), &[])),
                 Err(error) => tracing::warn!("upgrade: {error}"),
             }
         }
-        let _ = net.poll.rearm(listener, RENDEZVOUS, true, false);
+        let _ = net.poll.rearm(listener, RENDEZVOUS_KEY, true, false);
     }
 
-    fn open(stream: UnixStream) -> Result<Channel, ChannelError> {
+    fn open_channel(stream: UnixStream) -> Result<Channel, ChannelError> {
         stream.set_nonblocking(true)?;
         Channel::new(stream)
     }
 
     /// What the successor's channel has brought, and what this process is to do then.
     pub fn successor_ready(&mut self, net: &Net, stopping: bool) -> PredecessorAction {
-        let Some(channel) = &mut self.to_successor else { return PredecessorAction::None };
+        let Some(channel) = &mut self.successor_channel else { return PredecessorAction::None };
         let received = channel.flush().and_then(|()| channel.receive());
         let event = match received {
             Ok(None) => {
-                self.poll_successor(net);
+                self.rearm_successor(net);
                 return PredecessorAction::None;
             }
             Ok(Some(received)) => match received.message {
@@ -246,57 +246,57 @@
         if ended || matches!(action, PredecessorAction::Refuse(_)) {
             self.drop_successor(net);
         } else {
-            self.poll_successor(net);
+            self.rearm_successor(net);
         }
         action
     }
 
     fn drop_successor(&mut self, net: &Net) {
-        if let Some(channel) = self.to_successor.take() {
+        if let Some(channel) = self.successor_channel.take() {
             net.poll.remove(channel.stream());
         }
     }
 
-    fn poll_successor(&self, net: &Net) {
-        if let Some(channel) = &self.to_successor {
-            let _ = net.poll.rearm(channel.stream(), TO_SUCCESSOR, true, channel.wants_write());
+    fn rearm_successor(&self, net: &Net) {
+        if let Some(channel) = &self.successor_channel {
+            let _ = net.poll.rearm(channel.stream(), SUCCESSOR_KEY, true, channel.wants_write());
         }
     }
 
     /// Gives the successor what it asked for.
-    pub fn offer(&mut self, net: &Net, offer: Offer, sockets: &[BorrowedFd<'_>]) {
-        let Some(channel) = &mut self.to_successor else { return };
+    pub fn send_offer(&mut self, net: &Net, offer: Offer, sockets: &[BorrowedFd<'_>]) {
+        let Some(channel) = &mut self.successor_channel else { return };
         if let Err(error) = channel.send(&Message::Offer(offer), sockets) {
             tracing::warn!("upgrade: {error}");
         }
-        self.poll_successor(net);
+        self.rearm_successor(net);
     }
 
     /// Tells the successor what this process has spent.
-    pub fn tell_spending(&mut self, net: &Net, spending: String) {
-        let Some(channel) = &mut self.to_successor else { return };
+    pub fn send_spending(&mut self, net: &Net, spending: String) {
+        let Some(channel) = &mut self.successor_channel else { return };
         // A successor that can't be told has ended, which the poller reports.
         let _ = channel.send(&Message::Spending(spending), &[]);
-        self.poll_successor(net);
+        self.rearm_successor(net);
     }
 
     /// What the predecessor's channel has brought.
-    pub fn predecessor_ready(&mut self, net: &Net) -> PredecessorNews {
-        let Some(channel) = &mut self.to_predecessor else { return PredecessorNews::None };
+    pub fn predecessor_ready(&mut self, net: &Net) -> PredecessorUpdate {
+        let Some(channel) = &mut self.predecessor_channel else { return PredecessorUpdate::None };
         match channel.flush().and_then(|()| channel.receive()) {
             Ok(received) => {
-                let _ = net.poll.rearm(channel.stream(), TO_PREDECESSOR, true, channel.wants_write());
+                let _ = net.poll.rearm(channel.stream(), PREDECESSOR_KEY, true, channel.wants_write());
                 match received.map(|received| received.message) {
-                    Some(Message::Spending(spending)) => PredecessorNews::Spending(spending),
-                    _ => PredecessorNews::None,
+                    Some(Message::Spending(spending)) => PredecessorUpdate::Spending(spending),
+                    _ => PredecessorUpdate::None,
                 }
             }
             Err(_) => {
                 net.poll.remove(channel.stream());
-                self.to_predecessor = None;
+                self.predecessor_channel = None;
                 match self.successor.handle(SuccessorEvent::PredecessorEnded) {
-                    SuccessorAction::UseWholeLimits => PredecessorNews::Ended,
-                    _ => PredecessorNews::None,
+                    SuccessorAction::UseWholeLimits => PredecessorUpdate::Ended,
+                    _ => PredecessorUpdate::None,
                 }
             }
         }
@@ -304,7 +304,7 @@
 }
 
 /// Whether a socket is bound where it was asked for; port 0 asks for any.
-fn is_at(bound: SocketAddr, asked: SocketAddr) -> bool {
-    let same_host = |ip: IpAddr| ip == asked.ip();
-    same_host(bound.ip()) && (asked.port() == 0 || bound.port() == asked.port())
+fn is_bound_to(bound: SocketAddr, requested: SocketAddr) -> bool {
+    let same_host = |ip: IpAddr| ip == requested.ip();
+    same_host(bound.ip()) && (requested.port() == 0 || bound.port() == requested.port())
 }
