--- a/src/broker.rs
+++ b/src/broker.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use self::discovery::take_list;
+use self::discovery::apply_list;
 use self::signals::SignalFlags;
 use self::upgrade::{newer_list, open_store};
 use crate::backend::{Backend, Done, Flushed};
@@ -29,7 +29,7 @@
 use crate::front::{Front, Pending};
 use crate::interface::{LoadReport, Time, Verdict};
 use crate::inventory::Inventory;
-use crate::lifecycle::{Lifecycle, Phase as LifePhase};
+use crate::lifecycle::{Lifecycle, Phase as LifecyclePhase};
 use crate::net::client::Client;
 use crate::net::clock::Clock;
 use crate::net::{Net, Ready, TimerEvent, bind_udp};
@@ -37,26 +37,26 @@
 use crate::state::StateStore;
 use crate::upgrade::{PREDECESSOR_KEY, RENDEZVOUS_KEY, SUCCESSOR_KEY, Upgrade};
 
-const LISTEN: usize = 0;
-const SIGNAL: usize = 1;
-const WATCH: usize = 2;
-const OGC_LISTEN: usize = 3;
-const PEERS: usize = 4;
+const CLIENT_LISTENER_KEY: usize = 0;
+const SIGNAL_KEY: usize = 1;
+const DISCOVERY_KEY: usize = 2;
+const OGC_LISTENER_KEY: usize = 3;
+const PEERS_KEY: usize = 4;
 
 /// Descriptors for all but clients and tile servers: standard streams, poller, signal, listeners, watch.
-const RESERVED: usize = 24;
+const RESERVED_DESCRIPTORS: usize = 24;
 /// Share of the descriptors that operators' connections may take.
-const OPERATOR_SHARE: usize = 8;
+const OPERATOR_DESCRIPTOR_DIVISOR: usize = 8;
 /// A client without a request costs about so much memory, beside what its buffers hold.
-const CLIENT_MEMORY: usize = 4 * 1024;
+const IDLE_CLIENT_BYTES: usize = 4 * 1024;
 /// Share of the memory that clients may take, and as much again for what their buffers hold.
-const CLIENT_SHARE: usize = 4;
-/// How often idle connections are looked over, and at the least so often in the servers' idle limit: they
+const CLIENT_MEMORY_DIVISOR: usize = 4;
+/// How often idle connections are polled_at over, and at the least so often in the servers' idle limit: they
 /// must be closed before it.
-const SWEEP: Duration = Duration::from_millis(500);
-const SWEEPS: u32 = 10;
+const MAX_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+const SWEEPS_PER_IDLE_LIMIT: u32 = 10;
 /// And one that has not ended its first request for so long.
-const SLOW: Duration = Duration::from_millis(500);
+const SLOW_CLIENT_AFTER: Duration = Duration::from_millis(500);
 
 /// A broker on its sockets.
 pub struct Broker {
@@ -74,15 +74,15 @@
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
     inventory: Option<Inventory>,
     /// When discovery is to be tended next; timers set for earlier are void.
-    watch_at: Time,
+    watch_timer_at: Time,
     /// Whether it was said that no watch stands.
-    watch_away: bool,
+    watch_failure_logged: bool,
     /// When the loop last asked what is ready: whatever is ready now came since.
-    looked: Time,
+    polled_at: Time,
     /// The listeners, by key, until SIGTERM.
     listeners: Vec<(usize, TcpListener)>,
     /// Connections that may have been accepted at the end of listening, at each listener.
-    last_accepts: usize,
+    final_accepts: usize,
     /// Listeners on which a successor accepts in this process's place.
     released: Vec<(usize, TcpListener)>,
     /// Hand-overs, where they are on.
@@ -96,23 +96,23 @@
     /// What it runs by.
     config: Config,
     clients: HashMap<usize, Client<Pending>>,
-    most_clients: usize,
+    max_clients: usize,
     /// How many clients may be held while no other process of this broker runs.
-    most_clients_alone: usize,
+    max_clients_standalone: usize,
     /// Descriptors for all but clients.
     fixed_descriptors: usize,
     /// What clients' buffers hold, and what they may hold together.
-    buffered: usize,
-    most_buffered: usize,
+    buffered_bytes: usize,
+    max_buffered_bytes: usize,
     /// Clients that have had their turn and have more requests in.
-    again: Vec<usize>,
+    unfinished_clients: Vec<usize>,
     /// Whether listeners wait for a client to leave.
-    crowded: bool,
+    accept_paused: bool,
     /// Where the process stands between its start and its end.
     lifecycle: Lifecycle,
     /// What operators ask for and read, and whether anybody can.
     operations: Arc<Operations>,
-    is_operated: bool,
+    has_control: bool,
     last_step: Time,
     /// What the step under way wants done.
     commands: Vec<Command>,
@@ -125,30 +125,30 @@
     ///
     /// When the configuration can't be followed.
     pub fn start(mut config: Config) -> io::Result<Self> {
-        let invalid = |fault: String| io::Error::new(io::ErrorKind::InvalidInput, fault);
+        let invalid = |problem: String| io::Error::new(io::ErrorKind::InvalidInput, problem);
         let clock = Clock::start();
-        let born = clock.now();
+        let started_at = clock.now();
         let mut net = Net::new(clock)?;
         // Signals are heeded before anything can go wrong: one that came earlier would end the program.
         let (signal, wake) = UnixStream::pair()?;
         signal.set_nonblocking(true)?;
         wake.set_nonblocking(true)?;
         let signal_flags = SignalFlags::listen(&wake)?;
-        net.poll.add(&signal, SIGNAL, true, false)?;
+        net.poll.add(&signal, SIGNAL_KEY, true, false)?;
         let settings = Arc::new(config.settings.clone());
         let mut core =
             Core::new(settings.clone(), config.seed).map_err(|error| invalid(error.to_string()))?;
         let trace = TraceRecorder::start(&config, &clock, &mut core)?;
         let backend_links = config.bounds.sockets / 4;
         let memory = config.bounds.memory_mb * 1024 * 1024;
-        let by_memory = memory / CLIENT_SHARE / CLIENT_MEMORY;
-        let is_operated = config.control.is_some();
-        let max_connections = config.bounds.sockets / OPERATOR_SHARE;
+        let by_memory = memory / CLIENT_MEMORY_DIVISOR / IDLE_CLIENT_BYTES;
+        let has_control = config.control.is_some();
+        let max_connections = config.bounds.sockets / OPERATOR_DESCRIPTOR_DIVISOR;
         let endpoint = config.control.map(|address| EndpointConfig { address, max_connections });
-        let reserved = RESERVED + endpoint.map_or(0, |endpoint| endpoint.max_descriptors());
+        let reserved = RESERVED_DESCRIPTORS + endpoint.map_or(0, |endpoint| endpoint.max_descriptors());
         let fixed_descriptors = reserved + backend_links;
         let by_descriptors = config.bounds.sockets.saturating_sub(fixed_descriptors);
-        let most_clients = by_descriptors.min(by_memory).max(1);
+        let max_clients = by_descriptors.min(by_memory).max(1);
         let operations = Arc::new(Operations::new(Statistics::new(&settings.classes)));
         if let Some(endpoint) = endpoint {
             let endpoint = Endpoint::start(endpoint, operations.clone(), net.poll.waker());
@@ -157,16 +157,16 @@
         }
         let mut backend = Backend::new(settings.clone(), backend_links);
         let known = config.known.take().map(|known| Listing::from_value(&known, &clock)).transpose();
-        let mut known = known.map_err(|fault| invalid(format!("known.{fault}")))?;
-        let folder = is_operated.then(shared_folder).flatten();
+        let mut known = known.map_err(|error| invalid(format!("known.{error}")))?;
+        let directory = has_control.then(shared_directory).flatten();
         let (mut upgrade, offer) =
-            folder.map(|folder| Upgrade::start(&folder, &config.name, config.listen)).unzip();
+            directory.map(|directory| Upgrade::start(&directory, &config.name, config.listen)).unzip();
         let offer = offer.flatten();
         known = newer_list(known, offer.as_ref(), &clock);
         let store = open_store(&config, clock, &mut known, offer.is_some())?;
         if let Some(list) = &mut known {
             list.whole = true;
-            take_list(&mut core, &mut backend, list, None);
+            apply_list(&mut core, &mut backend, list, None);
         }
         let mut inventory = config.ogc.as_ref().and_then(|ogc| ogc.inventory.clone()).map(Inventory::new);
         if let Some(list) = inventory
@@ -176,7 +176,7 @@
             .map_err(|e| invalid(e.to_string()))?
             .flatten()
         {
-            take_list(&mut core, &mut backend, &list, None);
+            apply_list(&mut core, &mut backend, &list, None);
         }
         let watch = config.discovery.filter(|_| inventory.is_none()).map(|at| {
             let source = Source::of(&settings.router, settings.drain_grace);
@@ -188,16 +188,16 @@
             .filter(|(_, all)| core.gossip_enabled() && all.len() == settings.router.front_nodes as usize);
         let peers = peers.map(|(at, all)| {
             let adopted = upgrade.as_mut().and_then(|upgrade: &mut Upgrade| upgrade.take_udp_socket(at));
-            let socket = adopted.map_or_else(|| bind_udp(at, is_operated), Ok);
+            let socket = adopted.map_or_else(|| bind_udp(at, has_control), Ok);
             socket.map(|socket| (socket, all))
         });
         let peers = peers.transpose().map_err(|error| invalid(format!("peer_listen: {error}")))?;
         let front = Front::new(settings.clone(), config.ogc.clone(), config.seed);
         let now = clock.now();
         net.timers.arm(now, TimerEvent::DiscoveryWatch);
-        net.timers.arm(now.after(SWEEP), TimerEvent::IdleSweep);
+        net.timers.arm(now.after(MAX_SWEEP_INTERVAL), TimerEvent::IdleSweep);
         net.timers.arm(now, TimerEvent::SilenceCheck);
-        if is_operated {
+        if has_control {
             net.timers.arm(now, TimerEvent::UpdateGauges);
         }
         let mut broker = Broker {
@@ -210,11 +210,11 @@
             watch,
             peers,
             inventory,
-            watch_at: now,
-            watch_away: false,
-            looked: now,
+            watch_timer_at: now,
+            watch_failure_logged: false,
+            polled_at: now,
             listeners: Vec::new(),
-            last_accepts: 0,
+            final_accepts: 0,
             released: Vec::new(),
             upgrade,
             snapshot_taken: now,
@@ -223,25 +223,25 @@
             signal_flags,
             config,
             clients: HashMap::new(),
-            most_clients,
-            most_clients_alone: most_clients,
+            max_clients,
+            max_clients_standalone: max_clients,
             fixed_descriptors,
-            buffered: 0,
-            most_buffered: memory / CLIENT_SHARE,
-            again: Vec::new(),
-            crowded: false,
+            buffered_bytes: 0,
+            max_buffered_bytes: memory / CLIENT_MEMORY_DIVISOR,
+            unfinished_clients: Vec::new(),
+            accept_paused: false,
             lifecycle: Lifecycle::default(),
             operations,
-            is_operated,
+            has_control,
             last_step: Time(0),
             commands: Vec::new(),
         };
         if let Some(offer) = offer {
             broker.take_over(now, &offer);
         }
-        let bound = broker.net.clock.now();
-        broker.await_list()?;
-        let listed = broker.net.clock.now();
+        let bound_at = broker.net.clock.now();
+        broker.wait_for_first_list()?;
+        let listed_at = broker.net.clock.now();
         if !broker.lifecycle.is_stopping() {
             broker.listen()?;
         }
@@ -250,9 +250,9 @@
             upgrade.now_listening(&broker.net);
         }
         let ms = |from: Time, to: Time| to.since(from).as_secs_f64() * 1e3;
-        let ready = broker.net.clock.now();
-        broker.heed_drain(ready);
-        broker.show_operators();
+        let ready_at = broker.net.clock.now();
+        broker.apply_drain_request(ready_at);
+        broker.publish_state();
         let told = match broker.watch.as_ref().is_some_and(Watch::has_told) {
             true => "told",
             false if broker.core.can_serve() => "the one of old",
@@ -260,26 +260,26 @@
         };
         tracing::info!(
             "started in {:.1} ms: {:.1} for settings and sockets, {:.1} for the first list ({told}), {:.1} to listen",
-            ms(born, ready),
-            ms(born, bound),
-            ms(bound, listed),
-            ms(listed, ready)
+            ms(started_at, ready_at),
+            ms(started_at, bound_at),
+            ms(bound_at, listed_at),
+            ms(listed_at, ready_at)
         );
         Ok(broker)
     }
 
     /// Waits for the first list, a moment at the most. What discovery's agent has counts as told from the process's
     /// first moment, and the list of old may call a server sound that drains or is gone: clients come after it.
-    fn await_list(&mut self) -> io::Result<()> {
+    fn wait_for_first_list(&mut self) -> io::Result<()> {
         let source = Source::of(&self.settings.router, self.settings.drain_grace);
         let until = self.net.clock.now().after(source.first_list());
         let waits = |broker: &Self| broker.watch.as_ref().is_some_and(|watch| !watch.has_told());
         let (mut ready, mut due) = (Vec::new(), Vec::new());
         while waits(self) && !self.lifecycle.is_stopping() && self.net.clock.now() < until {
-            self.turn(&mut ready, &mut due, Some(until))?;
+            self.run_iteration(&mut ready, &mut due, Some(until))?;
         }
         // What signals asked for meanwhile goes before the first client.
-        self.turn(&mut ready, &mut due, Some(Time(0)))
+        self.run_iteration(&mut ready, &mut due, Some(Time(0)))
     }
 
     /// Where it listens: to the platform's clients first.
@@ -294,8 +294,8 @@
     /// When the poller fails.
     pub fn run(mut self) -> io::Result<()> {
         let (mut ready, mut due) = (Vec::new(), Vec::new());
-        while self.goes_on() {
-            self.turn(&mut ready, &mut due, self.lifecycle.next_transition())?;
+        while self.is_running() {
+            self.run_iteration(&mut ready, &mut due, self.lifecycle.next_transition())?;
         }
         if let Some(trace) = self.trace.take() {
             trace.close(self.net.clock.now());
@@ -304,7 +304,7 @@
     }
 
     /// Waits until anything is ready or due, or until a time, and does it.
-    fn turn(
+    fn run_iteration(
         &mut self,
         ready: &mut Vec<Ready>,
         due: &mut Vec<TimerEvent>,
@@ -314,34 +314,38 @@
         let step = self.core.has_events().then(|| self.last_step.after(self.settings.router.tick));
         let wake =
             self.net.timers.next().into_iter().chain(step).chain(self.core.gossip_due()).chain(until).min();
-        let pause = if self.again.is_empty() { wake.map(|at| at.since(now)) } else { Some(Duration::ZERO) };
+        let pause = if self.unfinished_clients.is_empty() {
+            wake.map(|at| at.since(now))
+        } else {
+            Some(Duration::ZERO)
+        };
         self.net.poll.wait(pause, ready)?;
         let now = self.net.clock.now();
         self.lifecycle.advance(now);
         // Before any request is read: whoever has the answer to a call for a drain is told of it from then on.
-        self.heed_drain(now);
-        for key in std::mem::take(&mut self.again) {
+        self.apply_drain_request(now);
+        for key in std::mem::take(&mut self.unfinished_clients) {
             self.client_ready(now, key);
         }
-        for report in ready.drain(..) {
-            self.ready(now, report.key, report.readable);
+        for readiness in ready.drain(..) {
+            self.handle_ready(now, readiness.key, readiness.readable);
         }
         self.net.timers.expire(now, due);
-        for what in due.drain(..) {
-            self.due(now, what);
+        for event in due.drain(..) {
+            self.handle_timer(now, event);
         }
-        self.gather(now);
+        self.flush_backend(now);
         if self.core.has_events() && now.since(self.last_step) >= self.settings.router.tick {
             self.step(now);
         }
-        self.say(now);
-        self.show_operators();
-        self.looked = now;
+        self.send_gossip(now);
+        self.publish_state();
+        self.polled_at = now;
         Ok(())
     }
 
     /// Whether the process goes on: it ends once it was told to and nothing is owed to anyone.
-    fn goes_on(&mut self) -> bool {
+    fn is_running(&mut self) -> bool {
         let now = self.net.clock.now();
         self.lifecycle.advance(now);
         if self.lifecycle.is_stopping() {
@@ -349,15 +353,15 @@
                 self.core.open_queries() > 0 || self.clients.values().any(Client::has_pending_response);
             self.lifecycle.check_completion(now, !self.listeners.is_empty(), owed, !self.clients.is_empty());
         }
-        self.lifecycle.phase() != LifePhase::Ended
+        self.lifecycle.phase() != LifecyclePhase::Ended
     }
 
-    fn ready(&mut self, now: Time, key: usize, readable: bool) {
+    fn handle_ready(&mut self, now: Time, key: usize, readable: bool) {
         match key {
-            LISTEN | OGC_LISTEN => drop(self.accept(now, key)),
-            SIGNAL => self.signalled(now),
-            WATCH => self.watch_ready(now),
-            PEERS => self.hear(),
+            CLIENT_LISTENER_KEY | OGC_LISTENER_KEY => drop(self.accept(now, key)),
+            SIGNAL_KEY => self.handle_signals(now),
+            DISCOVERY_KEY => self.watch_ready(now),
+            PEERS_KEY => self.receive_gossip(),
             RENDEZVOUS_KEY => {
                 if let Some(upgrade) = &mut self.upgrade {
                     upgrade.accept_successors(&self.net);
@@ -375,12 +379,12 @@
         }
     }
 
-    fn due(&mut self, now: Time, what: TimerEvent) {
-        match what {
+    fn handle_timer(&mut self, now: Time, event: TimerEvent) {
+        match event {
             TimerEvent::Core(timer) => self.core.timer(timer),
             TimerEvent::QueryDeadline(query) => {
                 if let Some(command) = self.core.check_deadline(now, query) {
-                    self.carry_out(now, command);
+                    self.execute(now, command);
                 }
             }
             TimerEvent::AttemptTimeout(attempt) => self.backend.give_up(now, attempt, Verdict::NoAnswer),
@@ -391,8 +395,8 @@
                 self.backend.shut(server)
             }
             TimerEvent::DrainGraceExpired(_) => {}
-            TimerEvent::DiscoveryWatch if now < self.watch_at => {}
-            TimerEvent::DiscoveryWatch => self.tend_watch(now),
+            TimerEvent::DiscoveryWatch if now < self.watch_timer_at => {}
+            TimerEvent::DiscoveryWatch => self.update_watch(now),
             TimerEvent::SilenceCheck => {
                 self.net
                     .timers
@@ -402,21 +406,21 @@
             TimerEvent::IdleSweep => self.sweep(now),
             // The outcomes come with the gather that follows.
             TimerEvent::CancelsRead => {}
-            TimerEvent::DrainIdleEnd => self.end_resting(now),
-            TimerEvent::UpdateGauges => self.set_gauges(now),
+            TimerEvent::DrainIdleEnd => self.close_drained_idle(now),
+            TimerEvent::UpdateGauges => self.update_gauges(now),
             TimerEvent::StopListening => self.stop_listening(now),
-            TimerEvent::StopServing => self.stop_serving(now),
-            TimerEvent::ShutdownDeadline => self.fail_open(now),
+            TimerEvent::StopServing => self.close_idle_clients(now),
+            TimerEvent::ShutdownDeadline => self.fail_open_queries(now),
         }
     }
 
     /// Writes what is queued for the servers, and hands what ended at them to the core.
-    fn gather(&mut self, now: Time) {
+    fn flush_backend(&mut self, now: Time) {
         let (mut now, mut flushed) = (now, Flushed::HeldUp);
         while flushed == Flushed::HeldUp {
-            now = self.look_again(now);
+            now = self.catch_up(now);
             for command in self.core.withdraw_ended() {
-                self.carry_out(now, command);
+                self.execute(now, command);
             }
             flushed = self.backend.flush(&mut self.net, now);
         }
@@ -435,37 +439,37 @@
         if let Some(trace) = &mut self.trace {
             trace.record_step(&mut self.core);
         }
-        let now = self.look_again(now);
+        let now = self.catch_up(now);
         for command in commands.drain(..) {
-            self.carry_out(now, command);
+            self.execute(now, command);
         }
         self.commands = commands;
-        self.gather(now);
+        self.flush_backend(now);
     }
 
     /// What was gathered is as old as the turn has taken, and the process may have been held up in it. Where that is long,
     /// what has come meanwhile is taken in before anything is sent: clients that have left, servers that drain. Gives
     /// the time it is.
-    fn look_again(&mut self, now: Time) -> Time {
+    fn catch_up(&mut self, now: Time) -> Time {
         if !self.net.clock.is_stale(now) {
             return now;
         }
         let later = self.net.clock.now();
         let mut ready = Vec::new();
         if self.net.poll.wait(Some(Duration::ZERO), &mut ready).is_ok() {
-            for report in ready {
-                self.ready(later, report.key, report.readable);
+            for readiness in ready {
+                self.handle_ready(later, readiness.key, readiness.readable);
             }
         }
         let mut due = Vec::new();
         self.net.timers.expire(later, &mut due);
-        for what in due {
-            self.due(later, what);
+        for event in due {
+            self.handle_timer(later, event);
         }
         later
     }
 
-    fn carry_out(&mut self, now: Time, command: Command) {
+    fn execute(&mut self, now: Time, command: Command) {
         match command {
             // Its query ended after the step that wanted it sent.
             Command::Send(send) if !self.core.is_part_open(send.attempt.0) => {
@@ -482,7 +486,7 @@
             Command::Withdraw(attempt) => self.backend.take_back(now, attempt),
             Command::CloseIdle(server) => self.backend.close_idle(&self.net, server),
             Command::Probe(server) => self.backend.probe(&mut self.net, now, server),
-            Command::Finish(ticket, last) => self.finish(now, ticket, last),
+            Command::Finish(reply, answer) => self.finish_query(now, reply, answer),
             Command::SetTimer(at, timer) => self.net.timers.arm(at, TimerEvent::Core(timer)),
             Command::SetDeadline(at, query) => self.net.timers.arm(at, TimerEvent::QueryDeadline(query)),
             // The watch goes on by itself.
@@ -491,24 +495,26 @@
     }
 
     fn sweep(&mut self, now: Time) {
-        let pause = SWEEP.min(self.settings.connection_idle / SWEEPS).max(self.settings.router.tick);
+        let pause = MAX_SWEEP_INTERVAL
+            .min(self.settings.connection_idle / SWEEPS_PER_IDLE_LIMIT)
+            .max(self.settings.router.tick);
         self.net.timers.arm(now.after(pause), TimerEvent::IdleSweep);
         self.backend.sweep(&self.net, now);
         match self.inventory.as_mut().map(|inventory| inventory.reread(now)) {
-            Some(Ok(Some(list))) => take_list(&mut self.core, &mut self.backend, &list, None),
+            Some(Ok(Some(list))) => apply_list(&mut self.core, &mut self.backend, &list, None),
             Some(Err(error)) => tracing::warn!("{error}"),
             _ => {}
         }
         self.sweep_clients(now);
-        self.end_resting(now);
+        self.close_drained_idle(now);
         // Whoever had to be left alone a moment ago may have to make room by now.
-        if std::mem::take(&mut self.crowded) {
-            self.listen_on();
+        if std::mem::take(&mut self.accept_paused) {
+            self.rearm_listeners();
         }
     }
 }
 
-/// The folder that processes of one broker share, where they were given one.
-fn shared_folder() -> Option<PathBuf> {
-    std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty()).map(PathBuf::from)
+/// The directory that processes of one broker share, where they were given one.
+fn shared_directory() -> Option<PathBuf> {
+    std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty()).map(PathBuf::from)
 }
--- a/src/broker/clients.rs
+++ b/src/broker/clients.rs
@@ -1,6 +1,6 @@
 //! Requests of clients: taken whole, one at a time on a connection, and answered.
 
-use super::{Broker, OGC_LISTEN, SLOW};
+use super::{Broker, OGC_LISTENER_KEY, SLOW_CLIENT_AFTER};
 use crate::control::Outcome;
 use crate::core::{FinalAnswer, NotAccepted, ReplyId};
 use crate::front::{Pending, Taken};
@@ -9,16 +9,16 @@
 use crate::net::http::Response;
 
 /// What a client's buffer may hold while buffers together hold more than they may: an ordinary request.
-const ORDINARY_REQUEST: usize = 4 * 1024;
+const ORDINARY_REQUEST_BYTES: usize = 4 * 1024;
 /// Requests taken of one client in one turn.
-const MAX_REQUESTS: usize = 8;
+const MAX_REQUESTS_PER_ITERATION: usize = 8;
 
 impl Broker {
     pub(super) fn client_ready(&mut self, now: Time, key: usize) {
         let Some(client) = self.clients.get_mut(&key) else { return };
-        let liveness = client.read(now);
-        self.charge(key);
-        match liveness {
+        let state = client.read(now);
+        self.account_buffer(key);
+        match state {
             ConnectionState::Closed => self.drop_client(key),
             ConnectionState::Open => self.serve(now, key),
         }
@@ -26,18 +26,19 @@
 
     /// Takes the requests that are whole, one at a time, and writes what can be written.
     pub(super) fn serve(&mut self, now: Time, key: usize) {
-        self.serve_turn(now, key);
-        self.charge(key);
+        self.serve_requests(now, key);
+        self.account_buffer(key);
     }
 
     /// Counts what a client's buffer holds now.
-    pub(super) fn charge(&mut self, key: usize) {
+    pub(super) fn account_buffer(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         let held = client.buffer_bytes();
-        self.buffered = self.buffered - std::mem::replace(&mut client.accounted_bytes, held) + held;
+        self.buffered_bytes =
+            self.buffered_bytes - std::mem::replace(&mut client.accounted_bytes, held) + held;
     }
 
-    pub(super) fn serve_turn(&mut self, now: Time, key: usize) {
+    pub(super) fn serve_requests(&mut self, now: Time, key: usize) {
         let mut turn = 0;
         loop {
             let Some(client) = self.clients.get_mut(&key) else { return };
@@ -48,23 +49,23 @@
             // A client that sends on without reading its answers is not taken from until it does.
             match client.request_status() {
                 Ok(RequestStatus::Incomplete)
-                    if self.buffered > self.most_buffered
-                        && client.has_oversized_request(ORDINARY_REQUEST) =>
+                    if self.buffered_bytes > self.max_buffered_bytes
+                        && client.has_oversized_request(ORDINARY_REQUEST_BYTES) =>
                 {
                     client.queue_response(now, Response::text(503, "too much to hold: try again"), false);
                 }
                 Ok(RequestStatus::Incomplete) => break,
                 Ok(RequestStatus::InputUnread) => {
-                    self.again.push(key);
+                    self.unfinished_clients.push(key);
                     break;
                 }
-                Ok(RequestStatus::Ready) if turn == MAX_REQUESTS => {
-                    self.again.push(key);
+                Ok(RequestStatus::Ready) if turn == MAX_REQUESTS_PER_ITERATION => {
+                    self.unfinished_clients.push(key);
                     break;
                 }
                 Ok(RequestStatus::Ready) => {
                     turn += 1;
-                    self.take(now, key);
+                    self.take_request(now, key);
                 }
                 Err(error) => {
                     client.queue_response(now, Response::text(error.status(), error.to_string()), false)
@@ -82,15 +83,15 @@
     }
 
     /// Takes the request that a client's connection holds whole.
-    pub(super) fn take(&mut self, now: Time, key: usize) {
+    pub(super) fn take_request(&mut self, now: Time, key: usize) {
         // A turn may take long, and a drain holds from the answer to its call on.
-        self.heed_drain(now);
+        self.apply_drain_request(now);
         let stay = !self.lifecycle.is_closing();
         let able = self.core.can_serve() && self.lifecycle.is_available();
         let Some(client) = self.clients.get_mut(&key) else { return };
         let (keep_alive, taken) = match client.request() {
             Ok(request) => {
-                (request.keep_alive, self.front.take(client.listener == OGC_LISTEN, &request, able))
+                (request.keep_alive, self.front.take(client.listener == OGC_LISTENER_KEY, &request, able))
             }
             Err(error) => (false, Taken::Answered(Response::text(error.status(), error.to_string()))),
         };
@@ -106,7 +107,7 @@
                     self.core.reply_id_of(&query.name).filter(|holder| holder.0 != key as u64)
                 {
                     // Its client may have gone and sent the request once more, on this connection.
-                    self.look_at(now, holder.0 as usize);
+                    self.read_client(now, holder.0 as usize);
                 }
                 let taken = self.core.accept(now, query, ReplyId(key as u64));
                 let Some(client) = self.clients.get_mut(&key) else { return };
@@ -131,38 +132,38 @@
         }
     }
 
-    pub(super) fn finish(&mut self, now: Time, ticket: ReplyId, last: FinalAnswer) {
-        let (key, stay) = (ticket.0 as usize, !self.lifecycle.is_closing());
+    pub(super) fn finish_query(&mut self, now: Time, reply: ReplyId, answer: FinalAnswer) {
+        let (key, stay) = (reply.0 as usize, !self.lifecycle.is_closing());
         let Some(client) = self.clients.get_mut(&key) else { return };
         let Some(pending) = client.finish_query(now) else { return };
-        let outcome = match last {
+        let outcome = match answer {
             FinalAnswer::Answered { .. } => Outcome::Fulfilled,
             FinalAnswer::Refused { .. } => Outcome::Throttled,
             FinalAnswer::Failed => Outcome::Faulted,
         };
         self.operations.statistics().request_ended(pending.class, outcome);
-        client.queue_response(now, self.front.answer(&pending, last), stay);
+        client.queue_response(now, self.front.answer(&pending, answer), stay);
         self.serve(now, key);
     }
 
     /// Reads what a client has sent, and sees whether it has gone. What it holds is taken in its own turn.
-    pub(super) fn look_at(&mut self, now: Time, key: usize) {
+    pub(super) fn read_client(&mut self, now: Time, key: usize) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         match client.read(now) {
             ConnectionState::Closed => self.drop_client(key),
-            ConnectionState::Open => self.again.push(key),
+            ConnectionState::Open => self.unfinished_clients.push(key),
         }
     }
 
     pub(super) fn drop_client(&mut self, key: usize) {
         let Some(client) = self.clients.remove(&key) else { return };
         self.net.poll.remove(&client.stream);
-        self.buffered -= client.accounted_bytes;
+        self.buffered_bytes -= client.accounted_bytes;
         if let Some(query) = client.query() {
             self.core.client_gone(query);
         }
-        if std::mem::take(&mut self.crowded) {
-            self.listen_on();
+        if std::mem::take(&mut self.accept_paused) {
+            self.rearm_listeners();
         }
     }
 
@@ -175,7 +176,7 @@
         let expired: Vec<(usize, TimeoutAction)> = self.clients.iter().filter_map(expired).collect();
         for (key, then) in expired {
             match (then, self.clients.get_mut(&key)) {
-                (TimeoutAction::CloseIdle, _) => self.end_client(now, key),
+                (TimeoutAction::CloseIdle, _) => self.close_if_idle(now, key),
                 (TimeoutAction::RejectRequest, Some(client)) => {
                     client.queue_response(now, Response::text(408, "the request did not end in time"), false);
                     self.serve(now, key);
@@ -184,9 +185,10 @@
             }
         }
         // Answers that are not taken are held too: whoever has taken nothing for longest has the least to lose.
-        while self.buffered > self.most_buffered {
+        while self.buffered_bytes > self.max_buffered_bytes {
             let slow = |client: &&Client<Pending>| {
-                matches!(client.phase(), Phase::Responding { .. }) && now.since(client.phase_since()) >= SLOW
+                matches!(client.phase(), Phase::Responding { .. })
+                    && now.since(client.phase_since()) >= SLOW_CLIENT_AFTER
             };
             let slowest =
                 self.clients.iter().filter(|(_, c)| slow(c)).min_by_key(|(key, c)| (c.phase_since(), **key));
@@ -196,7 +198,7 @@
     }
 
     /// Ends a connection that rests, unless a request has come meanwhile: that is taken.
-    pub(super) fn end_client(&mut self, now: Time, key: usize) {
+    pub(super) fn close_if_idle(&mut self, now: Time, key: usize) {
         self.client_ready(now, key);
         if let Some(client) = self.clients.get_mut(&key).filter(|client| client.is_idle())
             && client.half_close(now) == ConnectionState::Closed
@@ -206,9 +208,9 @@
     }
 
     /// Ends the connections that are idle; the others end with their answer.
-    pub(super) fn stop_serving(&mut self, now: Time) {
+    pub(super) fn close_idle_clients(&mut self, now: Time) {
         for key in self.clients.keys().copied().collect::<Vec<_>>() {
-            self.end_client(now, key);
+            self.close_if_idle(now, key);
         }
     }
 }
--- a/src/broker/discovery.rs
+++ b/src/broker/discovery.rs
@@ -1,7 +1,7 @@
 //! The list of servers: asked for, watched, and given to the core.
 
 use super::Broker;
-use super::WATCH;
+use super::DISCOVERY_KEY;
 use crate::backend::Backend;
 use crate::core::Core;
 use crate::discovery::{Listing, Phase, Told, Watch, WatchError};
@@ -10,26 +10,26 @@
 
 /// A server that drains is sent to for this part of the settings' grace, where it was told just now: the rest is left
 /// for what goes on the way and for a busy machine.
-const DRAIN_PART: u32 = 2;
+const DRAIN_GRACE_DIVISOR: u32 = 2;
 
 impl Broker {
-    pub(super) fn tend_watch(&mut self, now: Time) {
+    pub(super) fn update_watch(&mut self, now: Time) {
         if let Some(error) = self.watch.as_ref().and_then(|watch| watch.is_over(now)) {
             self.end_watch(now, &error);
         }
         let Some(watch) = &mut self.watch else { return };
         if let Some(list) = watch.believe(now) {
-            self.take_told(now, &list, None);
+            self.apply_update(now, &list, None);
         }
         let Some(watch) = &mut self.watch else { return };
         match watch.connect(now) {
             Ok(true) => {
                 if let Some(stream) = watch.stream() {
-                    let _ = self.net.poll.add(stream, WATCH, true, true);
+                    let _ = self.net.poll.add(stream, DISCOVERY_KEY, true, true);
                 }
             }
             Ok(false) => {}
-            Err(error) => self.watch_failed(&error),
+            Err(error) => self.log_watch_failure(&error),
         }
         self.arm_watch();
     }
@@ -39,14 +39,14 @@
         let mut lists = Vec::new();
         let result = watch.ready(now, &mut lists);
         for Told { list, at_once } in lists {
-            // It came since the loop last looked, and may have waited for that long.
-            let until = self.looked.after(self.settings.drain_grace / DRAIN_PART);
-            self.take_told(now, &list, Some(until).filter(|until| at_once && *until > now));
+            // It came since the loop last polled_at, and may have waited for that long.
+            let until = self.polled_at.after(self.settings.drain_grace / DRAIN_GRACE_DIVISOR);
+            self.apply_update(now, &list, Some(until).filter(|until| at_once && *until > now));
         }
         let Some(watch) = &mut self.watch else { return };
         match (result, watch.stream()) {
             (Ok(()), Some(stream)) => {
-                let _ = self.net.poll.rearm(stream, WATCH, true, watch.wants_write());
+                let _ = self.net.poll.rearm(stream, DISCOVERY_KEY, true, watch.wants_write());
                 self.arm_watch();
             }
             (Ok(()), None) => {}
@@ -55,8 +55,8 @@
     }
 
     /// Takes a list that discovery has told; those that drain in it may be sent to until then, if at all.
-    pub(super) fn take_told(&mut self, now: Time, list: &Listing, until: Option<Time>) {
-        take_list(&mut self.core, &mut self.backend, list, until);
+    pub(super) fn apply_update(&mut self, now: Time, list: &Listing, until: Option<Time>) {
+        apply_list(&mut self.core, &mut self.backend, list, until);
         let draining = list.members.iter().filter(|(member, _)| member.state == ServerState::Draining);
         for (member, _) in draining {
             self.net
@@ -70,8 +70,8 @@
 
     /// Says why a watch failed: once, and again only after one has stood meanwhile, as calls to an agent that is
     /// away follow each other closely.
-    pub(super) fn watch_failed(&mut self, why: &WatchError) {
-        match std::mem::replace(&mut self.watch_away, true) {
+    pub(super) fn log_watch_failure(&mut self, why: &WatchError) {
+        match std::mem::replace(&mut self.watch_failure_logged, true) {
             false => tracing::warn!("discovery: {why}"),
             true => tracing::debug!("discovery: {why}"),
         }
@@ -79,8 +79,8 @@
 
     pub(super) fn end_watch(&mut self, now: Time, why: &WatchError) {
         let stood = |watch: &Watch| matches!(watch.phase(), Phase::Open(_) | Phase::List(_));
-        self.watch_away &= !self.watch.as_ref().is_some_and(stood);
-        self.watch_failed(why);
+        self.watch_failure_logged &= !self.watch.as_ref().is_some_and(stood);
+        self.log_watch_failure(why);
         if let Some(stream) = self.watch.as_mut().and_then(|watch| watch.drop_link(now)) {
             self.net.poll.remove(&stream);
         }
@@ -90,17 +90,17 @@
 
     pub(super) fn arm_watch(&mut self) {
         let Some(watch) = &self.watch else { return };
-        // Not a moment later than it is due, however often it is looked at: bytes that come again and again in the last
+        // Not a moment later than it is due, however often it is polled_at at: bytes that come again and again in the last
         // millisecond would put it off without end.
         let due = watch.due();
-        if due != std::mem::replace(&mut self.watch_at, due) {
+        if due != std::mem::replace(&mut self.watch_timer_at, due) {
             self.net.timers.arm(due, TimerEvent::DiscoveryWatch);
         }
     }
 }
 
 /// Gives a list to the core, and its addresses to the connections.
-pub(super) fn take_list(core: &mut Core, backend: &mut Backend, list: &Listing, until: Option<Time>) {
+pub(super) fn apply_list(core: &mut Core, backend: &mut Backend, list: &Listing, until: Option<Time>) {
     let members: Vec<_> = list.members.iter().map(|(member, _)| member.clone()).collect();
     for server in core.apply_server_list(list.whole, list.index, &members, until) {
         backend.shut(server);
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -7,7 +7,7 @@
 use crate::net::TimerEvent;
 
 /// How often the gauges of servers are set anew: operators may read them half a second late.
-const GAUGES_PAUSE: Duration = Duration::from_millis(200);
+const GAUGE_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Broker {
     /// Whether clients are to come, as `GET /up` and the control endpoint say.
@@ -16,7 +16,7 @@
     }
 
     /// Begins or ends a drain, where operators have asked for that.
-    pub(super) fn heed_drain(&mut self, now: Time) {
+    pub(super) fn apply_drain_request(&mut self, now: Time) {
         match self.operations.drain_requested() {
             true if self.lifecycle.drain(now) => {
                 tracing::info!("draining, {} clients, {} open", self.clients.len(), self.core.open_queries());
@@ -28,7 +28,7 @@
     }
 
     /// Shows operators where the process stands.
-    pub(super) fn show_operators(&mut self) {
+    pub(super) fn publish_state(&mut self) {
         let statistics = self.operations.statistics();
         statistics.set_open_requests(self.core.open_queries());
         statistics.attempts_relayed(self.backend.take_relayed());
@@ -36,16 +36,16 @@
     }
 
     /// Sets the gauges that take a look at all servers.
-    pub(super) fn set_gauges(&mut self, now: Time) {
+    pub(super) fn update_gauges(&mut self, now: Time) {
         let (up, draining) = self.core.server_counts();
         self.operations.statistics().set_servers(up + draining, self.core.avoided().len());
-        self.net.timers.arm(now.after(GAUGES_PAUSE), TimerEvent::UpdateGauges);
+        self.net.timers.arm(now.after(GAUGE_INTERVAL), TimerEvent::UpdateGauges);
     }
 
     /// Ends the connections that rest, where a drain's time for them is over.
-    pub(super) fn end_resting(&mut self, now: Time) {
+    pub(super) fn close_drained_idle(&mut self, now: Time) {
         if self.lifecycle.drain_idle_left(now).is_some_and(|rest| rest.is_zero()) {
-            self.stop_serving(now);
+            self.close_idle_clients(now);
         }
     }
 }
--- a/src/broker/peers.rs
+++ b/src/broker/peers.rs
@@ -1,15 +1,15 @@
 //! Datagrams between brokers.
 
-use super::{Broker, PEERS};
+use super::{Broker, PEERS_KEY};
 use crate::gossip;
 use crate::interface::Time;
 
 /// Datagrams of other brokers taken in one turn.
-const MAX_DATAGRAMS: usize = 128;
+const MAX_DATAGRAMS_PER_ITERATION: usize = 128;
 
 impl Broker {
     /// Tells other brokers what is due. What can't be sent now is left: the next word comes soon.
-    pub(super) fn say(&mut self, now: Time) {
+    pub(super) fn send_gossip(&mut self, now: Time) {
         for (datagram, hearers) in self.core.take_gossip(now) {
             let Some((socket, all)) = &self.peers else { continue };
             for at in hearers.into_iter().filter_map(|hearer| all.get(hearer)) {
@@ -19,16 +19,16 @@
     }
 
     /// Takes what other brokers say, and nobody else: a bounded number of datagrams in one turn.
-    pub(super) fn hear(&mut self) {
+    pub(super) fn receive_gossip(&mut self) {
         let Some((socket, all)) = &self.peers else { return };
         let mut bytes = [0; gossip::MAX_DATAGRAM_BYTES + 1];
-        for _ in 0..MAX_DATAGRAMS {
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             match socket.recv_from(&mut bytes) {
                 Ok((length, from)) if all.contains(&from) => self.core.receive_gossip(&bytes[..length]),
                 Ok(_) => {}
                 Err(_) => break,
             }
         }
-        let _ = self.net.poll.rearm(socket, PEERS, true, false);
+        let _ = self.net.poll.rearm(socket, PEERS_KEY, true, false);
     }
 }
--- a/src/broker/signals.rs
+++ b/src/broker/signals.rs
@@ -7,7 +7,7 @@
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 
-use super::{Broker, SIGNAL};
+use super::{Broker, SIGNAL_KEY};
 use crate::config::Config;
 use crate::interface::Time;
 use crate::net::TimerEvent;
@@ -20,11 +20,11 @@
 }
 
 impl SignalFlags {
-    /// Takes the signals over: each leaves its mark, then a byte on `wake`.
+    /// Takes the signals over: each leaves its flag, then a byte on `wake`.
     pub(super) fn listen(wake: &UnixStream) -> io::Result<Self> {
         let flags = SignalFlags::default();
-        for (signal, mark) in [(SIGTERM, &flags.stop), (SIGHUP, &flags.reload)] {
-            signal_hook::flag::register(signal, mark.clone())?;
+        for (signal, flag) in [(SIGTERM, &flags.stop), (SIGHUP, &flags.reload)] {
+            signal_hook::flag::register(signal, flag.clone())?;
             signal_hook::low_level::pipe::register(signal, wake.try_clone()?)?;
         }
         Ok(flags)
@@ -32,10 +32,10 @@
 }
 
 impl Broker {
-    pub(super) fn signalled(&mut self, now: Time) {
-        // Marks are looked at after the bytes are gone: one that comes in between wakes the loop again.
+    pub(super) fn handle_signals(&mut self, now: Time) {
+        // Marks are polled_at at after the bytes are gone: one that comes in between wakes the loop again.
         let _ = self.signal.read(&mut [0; 16]);
-        let _ = self.net.poll.rearm(&self.signal, SIGNAL, true, false);
+        let _ = self.net.poll.rearm(&self.signal, SIGNAL_KEY, true, false);
         if self.signal_flags.reload.swap(false, Ordering::SeqCst) {
             self.reload(now);
         }
@@ -74,7 +74,7 @@
         if let Some(stream) = watch.move_to(address) {
             self.net.poll.remove(&stream);
         }
-        self.tend_watch(now);
+        self.update_watch(now);
     }
 
     pub(super) fn stop(&mut self, now: Time) {
@@ -91,9 +91,9 @@
     }
 
     /// The broker has no more time: what is open gets its answer now.
-    pub(super) fn fail_open(&mut self, now: Time) {
+    pub(super) fn fail_open_queries(&mut self, now: Time) {
         for command in self.core.fail_open_queries() {
-            self.carry_out(now, command);
+            self.execute(now, command);
         }
     }
 }
--- a/src/broker/upgrade.rs
+++ b/src/broker/upgrade.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 
-use super::{Broker, OGC_LISTEN, PEERS};
+use super::{Broker, OGC_LISTENER_KEY, PEERS_KEY};
 use crate::config::Config;
 use crate::discovery::{Listing, Watch};
 use crate::handover::{ClientLimits, Offer, PredecessorAction, SocketRole, joint_client_limits};
@@ -24,7 +24,7 @@
             PredecessorAction::Offer => self.offer_sockets(now),
             PredecessorAction::StopAccepting => self.stop_accepting(now),
             PredecessorAction::ResumeAccepting => self.resume_accepting(now),
-            PredecessorAction::UseWholeLimits => self.serve_on(),
+            PredecessorAction::UseWholeLimits => self.restore_client_limit(),
         }
     }
 
@@ -47,7 +47,7 @@
         let list = self.watch.as_ref().map(|watch| watch.listing().to_value(&self.net.clock).to_string());
         let offer = Offer { roles, clients: self.clients.len(), snapshot, list };
         upgrade.send_offer(&self.net, offer, &sockets);
-        self.most_clients = self.most_clients.min(limits.predecessor);
+        self.max_clients = self.max_clients.min(limits.predecessor);
         tracing::info!("upgrade: a new process has the listening sockets and gets ready");
     }
 
@@ -77,8 +77,8 @@
     }
 
     /// The successor has ended before it was ready: this process has accepted all along, and shares no limit any more.
-    fn serve_on(&mut self) {
-        self.most_clients = self.most_clients_alone;
+    fn restore_client_limit(&mut self) {
+        self.max_clients = self.max_clients_standalone;
         tracing::warn!("upgrade: the new process has ended before it was ready, this one serves on");
     }
 
@@ -91,13 +91,13 @@
             }
         }
         if let Some((socket, _)) = &self.peers {
-            let _ = self.net.poll.add(socket, PEERS, true, false);
+            let _ = self.net.poll.add(socket, PEERS_KEY, true, false);
         }
         if let Some(upgrade) = &mut self.upgrade {
             upgrade.listen_for_successor(&self.net);
         }
         self.lifecycle.set_handed_over(false);
-        self.most_clients = self.most_clients_alone;
+        self.max_clients = self.max_clients_standalone;
         tracing::warn!("upgrade: the new process has ended, clients are taken here again");
     }
 
@@ -106,18 +106,18 @@
         let Some(upgrade) = &mut self.upgrade else { return };
         match upgrade.predecessor_ready(&self.net) {
             PredecessorUpdate::None => {}
-            PredecessorUpdate::Spending(spending) => self.take_budgets_over(now, &spending),
+            PredecessorUpdate::Spending(spending) => self.take_over_budgets(now, &spending),
             PredecessorUpdate::Ended => {
                 self.core.limit_budget_suspension(now);
-                self.most_clients = self.most_clients_alone;
+                self.max_clients = self.max_clients_standalone;
                 tracing::info!("upgrade: the old process has ended");
-                self.take_store_over();
+                self.take_over_store();
             }
         }
     }
 
     /// Opens the store that the predecessor has closed, and notes the list in it: what is stored is no newer.
-    fn take_store_over(&mut self) {
+    fn take_over_store(&mut self) {
         if self.store.is_some() {
             return;
         }
@@ -132,7 +132,7 @@
     }
 
     /// Spends from now on what both processes may spend together.
-    fn take_budgets_over(&mut self, now: Time, spending: &str) {
+    fn take_over_budgets(&mut self, now: Time, spending: &str) {
         let read = serde_json::from_str(spending).map_err(|error| error.to_string());
         let taken =
             read.and_then(|read| self.core.take_over_budgets(now, &read).map_err(|error| error.to_string()));
@@ -145,7 +145,7 @@
     /// Goes on from where the predecessor is, within what it leaves of the limits.
     pub(super) fn take_over(&mut self, now: Time, offer: &Offer) {
         let limits = self.joint_limits(offer.clients);
-        self.most_clients = self.most_clients.min(limits.successor);
+        self.max_clients = self.max_clients.min(limits.successor);
         tracing::info!("upgrade: {} sockets of the running process are taken over", offer.roles.len());
         self.restore(now, offer.snapshot.as_deref());
         self.core.suspend_budgets();
@@ -184,10 +184,10 @@
     config: &Config,
     clock: Clock,
     known: &mut Option<Listing>,
-    takes_over: bool,
+    is_successor: bool,
 ) -> io::Result<Option<StateStore>> {
     match StateStore::open(config, clock, known) {
-        Err(error) if takes_over && error.kind() == io::ErrorKind::AddrInUse => {
+        Err(error) if is_successor && error.kind() == io::ErrorKind::AddrInUse => {
             tracing::info!("upgrade: the store is the old process's until that has ended");
             Ok(None)
         }
@@ -197,5 +197,5 @@
 
 /// What a listener is for, by its key.
 pub(super) fn role_of(key: usize) -> SocketRole {
-    if key == OGC_LISTEN { SocketRole::OgcClients } else { SocketRole::Clients }
+    if key == OGC_LISTENER_KEY { SocketRole::OgcClients } else { SocketRole::Clients }
 }
