--- a/src/broker.rs
+++ b/src/broker.rs
@@ -1,5 +1,5 @@
-//! The broker's loop: it gathers what is ready, hands it to the core in one step, and carries out
-//! what comes back, in order.
+//! The broker's event loop: it collects what is ready, hands it to the core in one step, and executes the
+//! core's commands in order.
 
 mod accept;
 mod clients;
@@ -37,99 +37,117 @@
 use crate::state::StateStore;
 use crate::upgrade::{PREDECESSOR_KEY, RENDEZVOUS_KEY, SUCCESSOR_KEY, Upgrade};
 
+// Keys under which the poller reports the broker's own sockets. Keys 5 to 7 are defined in `crate::upgrade`.
 const CLIENT_LISTENER_KEY: usize = 0;
 const SIGNAL_KEY: usize = 1;
 const DISCOVERY_KEY: usize = 2;
 const OGC_LISTENER_KEY: usize = 3;
 const PEERS_KEY: usize = 4;
 
-/// Descriptors for all but clients and tile servers: standard streams, poller, signal, listeners, watch.
+/// Descriptors for everything except clients, operators and tile servers: standard streams, poller, signal
+/// pipe, listeners and the discovery watch.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Share of the descriptors that operators' connections may take.
+/// Operators' connections may use this fraction (1/n) of the descriptors.
 const OPERATOR_DESCRIPTOR_DIVISOR: usize = 8;
-/// A client without a request costs about so much memory, beside what its buffers hold.
+/// Connections to tile servers may use this fraction (1/n) of the descriptors.
+const BACKEND_DESCRIPTOR_DIVISOR: usize = 4;
+/// Approximate memory of a client without a request, in bytes, excluding its buffers.
 const IDLE_CLIENT_BYTES: usize = 4 * 1024;
-/// Share of the memory that clients may take, and as much again for what their buffers hold.
+/// Clients may use this fraction (1/n) of the memory, and their buffers together the same amount again.
 const CLIENT_MEMORY_DIVISOR: usize = 4;
-/// How often idle connections are polled_at over, and at the least so often in the servers' idle limit: they
-/// must be closed before it.
+/// Longest interval between two sweeps of idle connections.
 const MAX_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// At least this many sweeps fall into the tile servers' idle limit, as a connection must be closed before
+/// the server closes it.
 const SWEEPS_PER_IDLE_LIMIT: u32 = 10;
-/// And one that has not ended its first request for so long.
+/// A client that has been in the middle of a request or a response for this long may be closed to make room.
 const SLOW_CLIENT_AFTER: Duration = Duration::from_millis(500);
 
-/// A broker on its sockets.
+/// The socket and addresses for gossip between brokers.
+struct GossipPeers {
+    socket: UdpSocket,
+    /// The addresses of the brokers, by broker index.
+    addresses: Vec<SocketAddr>,
+}
+
+/// A broker with its sockets.
 pub struct Broker {
     settings: Arc<SiteSettings>,
     net: Net,
     core: Core,
-    /// The trace, where it is on.
+    /// Records the trace, if enabled.
     trace: Option<TraceRecorder>,
-    /// What lasts over a restart, where it is on.
+    /// The state that outlasts a restart, if enabled.
     store: Option<StateStore>,
     backend: Backend,
-    /// Where the list of servers comes from: one source alone, as each gives it whole.
+    /// The source of the server list. There is only one source (a watch or an inventory), as each sends the
+    /// full list.
     watch: Option<Watch>,
-    /// Where word goes to and comes from other brokers, and their addresses by number.
-    peers: Option<(UdpSocket, Vec<SocketAddr>)>,
+    /// Gossip with other brokers, if enabled.
+    peers: Option<GossipPeers>,
     inventory: Option<Inventory>,
-    /// When discovery is to be tended next; timers set for earlier are void.
+    /// When discovery is to be updated next; timers that were set for an earlier time are ignored.
     watch_timer_at: Time,
-    /// Whether it was said that no watch stands.
+    /// Whether a failed watch has been logged as a warning since the last one that worked.
     watch_failure_logged: bool,
-    /// When the loop last asked what is ready: whatever is ready now came since.
+    /// When the poller was last asked; anything that is ready now has arrived since.
     polled_at: Time,
-    /// The listeners, by key, until SIGTERM.
+    /// The listeners with their poller keys, until SIGTERM.
     listeners: Vec<(usize, TcpListener)>,
-    /// Connections that may have been accepted at the end of listening, at each listener.
+    /// Upper bound of the connections accepted from each listener since listening began to stop.
     final_accepts: usize,
-    /// Listeners on which a successor accepts in this process's place.
+    /// Listeners that the successor accepts on; kept in case the successor fails.
     released: Vec<(usize, TcpListener)>,
-    /// Hand-overs, where they are on.
+    /// Hand-overs between processes of this broker, if enabled.
     upgrade: Option<Upgrade>,
-    /// When the successor was given what this process has learned.
-    snapshot_taken: Time,
+    /// When the snapshot for the successor was taken.
+    snapshot_taken_at: Time,
+    /// Client requests and responses.
     front: Front,
+    /// Becomes readable when a signal arrives.
     signal: UnixStream,
-    /// What signals have asked for; `signal` wakes the loop to look.
+    /// Which signals have arrived.
     signal_flags: SignalFlags,
-    /// What it runs by.
+    /// The configuration it was started with; a reload updates only discovery's address.
     config: Config,
     clients: HashMap<usize, Client<Pending>>,
+    /// How many clients may be connected at present.
     max_clients: usize,
-    /// How many clients may be held while no other process of this broker runs.
+    /// How many clients may be connected while no other process of this broker runs.
     max_clients_standalone: usize,
-    /// Descriptors for all but clients.
+    /// Descriptors reserved for everything except clients.
     fixed_descriptors: usize,
-    /// What clients' buffers hold, and what they may hold together.
+    /// Bytes held in clients' buffers at present.
     buffered_bytes: usize,
+    /// Limit of `buffered_bytes`.
     max_buffered_bytes: usize,
-    /// Clients that have had their turn and have more requests in.
+    /// Clients with more input than one iteration takes; they continue in the next iteration.
     unfinished_clients: Vec<usize>,
-    /// Whether listeners wait for a client to leave.
+    /// Whether accepting is paused until a client leaves or the next sweep.
     accept_paused: bool,
-    /// Where the process stands between its start and its end.
+    /// The phase of the process between start and end.
     lifecycle: Lifecycle,
-    /// What operators ask for and read, and whether anybody can.
+    /// State shared with the control endpoint: drain requests, readiness and statistics.
     operations: Arc<Operations>,
+    /// Whether the control endpoint is enabled.
     has_control: bool,
-    last_step: Time,
-    /// What the step under way wants done.
+    last_step_at: Time,
+    /// Buffer for the commands of a step.
     commands: Vec<Command>,
 }
 
 impl Broker {
-    /// Binds the sockets and takes the list of old.
+    /// Binds the sockets and loads the last known server list.
     ///
     /// # Errors
     ///
-    /// When the configuration can't be followed.
+    /// Returns an error if the configuration is invalid or a socket can't be opened.
     pub fn start(mut config: Config) -> io::Result<Self> {
-        let invalid = |problem: String| io::Error::new(io::ErrorKind::InvalidInput, problem);
+        let invalid = |message: String| io::Error::new(io::ErrorKind::InvalidInput, message);
         let clock = Clock::start();
         let started_at = clock.now();
         let mut net = Net::new(clock)?;
-        // Signals are heeded before anything can go wrong: one that came earlier would end the program.
+        // Signal handlers come first: until they are installed, a signal would kill the process.
         let (signal, wake) = UnixStream::pair()?;
         signal.set_nonblocking(true)?;
         wake.set_nonblocking(true)?;
@@ -139,23 +157,24 @@
         let mut core =
             Core::new(settings.clone(), config.seed).map_err(|error| invalid(error.to_string()))?;
         let trace = TraceRecorder::start(&config, &clock, &mut core)?;
-        let backend_links = config.bounds.sockets / 4;
+        let max_backend_connections = config.bounds.sockets / BACKEND_DESCRIPTOR_DIVISOR;
         let memory = config.bounds.memory_mb * 1024 * 1024;
-        let by_memory = memory / CLIENT_MEMORY_DIVISOR / IDLE_CLIENT_BYTES;
+        let max_by_memory = memory / CLIENT_MEMORY_DIVISOR / IDLE_CLIENT_BYTES;
         let has_control = config.control.is_some();
         let max_connections = config.bounds.sockets / OPERATOR_DESCRIPTOR_DIVISOR;
-        let endpoint = config.control.map(|address| EndpointConfig { address, max_connections });
-        let reserved = RESERVED_DESCRIPTORS + endpoint.map_or(0, |endpoint| endpoint.max_descriptors());
-        let fixed_descriptors = reserved + backend_links;
-        let by_descriptors = config.bounds.sockets.saturating_sub(fixed_descriptors);
-        let max_clients = by_descriptors.min(by_memory).max(1);
+        let endpoint_config = config.control.map(|address| EndpointConfig { address, max_connections });
+        let reserved =
+            RESERVED_DESCRIPTORS + endpoint_config.map_or(0, |endpoint| endpoint.max_descriptors());
+        let fixed_descriptors = reserved + max_backend_connections;
+        let max_by_descriptors = config.bounds.sockets.saturating_sub(fixed_descriptors);
+        let max_clients = max_by_descriptors.min(max_by_memory).max(1);
         let operations = Arc::new(Operations::new(Statistics::new(&settings.classes)));
-        if let Some(endpoint) = endpoint {
-            let endpoint = Endpoint::start(endpoint, operations.clone(), net.poll.waker());
+        if let Some(endpoint_config) = endpoint_config {
+            let endpoint = Endpoint::start(endpoint_config, operations.clone(), net.poll.waker());
             let endpoint = endpoint.map_err(|error| invalid(format!("control: {error}")))?;
             tracing::info!("{} listens to operators on {}", config.name, endpoint.address());
         }
-        let mut backend = Backend::new(settings.clone(), backend_links);
+        let mut backend = Backend::new(settings.clone(), max_backend_connections);
         let known = config.known.take().map(|known| Listing::from_value(&known, &clock)).transpose();
         let mut known = known.map_err(|error| invalid(format!("known.{error}")))?;
         let directory = has_control.then(shared_directory).flatten();
@@ -182,14 +201,13 @@
             let source = Source::of(&settings.router, settings.drain_grace);
             Watch::new(at, known.as_ref(), clock, Pace::new(clock.now(), source, config.seed))
         });
-        let peers = config
-            .peers
-            .take()
-            .filter(|(_, all)| core.gossip_enabled() && all.len() == settings.router.front_nodes as usize);
-        let peers = peers.map(|(at, all)| {
+        let peers = config.peers.take().filter(|(_, addresses)| {
+            core.gossip_enabled() && addresses.len() == settings.router.front_nodes as usize
+        });
+        let peers = peers.map(|(at, addresses)| {
             let adopted = upgrade.as_mut().and_then(|upgrade: &mut Upgrade| upgrade.take_udp_socket(at));
             let socket = adopted.map_or_else(|| bind_udp(at, has_control), Ok);
-            socket.map(|socket| (socket, all))
+            socket.map(|socket| GossipPeers { socket, addresses })
         });
         let peers = peers.transpose().map_err(|error| invalid(format!("peer_listen: {error}")))?;
         let front = Front::new(settings.clone(), config.ogc.clone(), config.seed);
@@ -217,7 +235,7 @@
             final_accepts: 0,
             released: Vec::new(),
             upgrade,
-            snapshot_taken: now,
+            snapshot_taken_at: now,
             front,
             signal,
             signal_flags,
@@ -233,7 +251,7 @@
             lifecycle: Lifecycle::default(),
             operations,
             has_control,
-            last_step: Time(0),
+            last_step_at: Time(0),
             commands: Vec::new(),
         };
         if let Some(offer) = offer {
@@ -253,13 +271,13 @@
         let ready_at = broker.net.clock.now();
         broker.apply_drain_request(ready_at);
         broker.publish_state();
-        let told = match broker.watch.as_ref().is_some_and(Watch::has_told) {
-            true => "told",
-            false if broker.core.can_serve() => "the one of old",
-            false => "none: not ready",
+        let first_list = match broker.watch.as_ref().is_some_and(Watch::has_told) {
+            true => "received",
+            false if broker.core.can_serve() => "last known",
+            false => "none, not ready",
         };
         tracing::info!(
-            "started in {:.1} ms: {:.1} for settings and sockets, {:.1} for the first list ({told}), {:.1} to listen",
+            "started in {:.1} ms: {:.1} for settings and sockets, {:.1} for the first list ({first_list}), {:.1} to listen",
             ms(started_at, ready_at),
             ms(started_at, bound_at),
             ms(bound_at, listed_at),
@@ -268,30 +286,31 @@
         Ok(broker)
     }
 
-    /// Waits for the first list, a moment at the most. What discovery's agent has counts as told from the process's
-    /// first moment, and the list of old may call a server sound that drains or is gone: clients come after it.
+    /// Waits a limited time for the first server list from discovery before clients are accepted. A list that
+    /// the discovery agent already has is deemed delivered when the process starts, and the last known list
+    /// may show a server as up that is draining or removed.
     fn wait_for_first_list(&mut self) -> io::Result<()> {
         let source = Source::of(&self.settings.router, self.settings.drain_grace);
         let until = self.net.clock.now().after(source.first_list());
-        let waits = |broker: &Self| broker.watch.as_ref().is_some_and(|watch| !watch.has_told());
+        let is_waiting = |broker: &Self| broker.watch.as_ref().is_some_and(|watch| !watch.has_told());
         let (mut ready, mut due) = (Vec::new(), Vec::new());
-        while waits(self) && !self.lifecycle.is_stopping() && self.net.clock.now() < until {
+        while is_waiting(self) && !self.lifecycle.is_stopping() && self.net.clock.now() < until {
             self.run_iteration(&mut ready, &mut due, Some(until))?;
         }
-        // What signals asked for meanwhile goes before the first client.
+        // Handles signals that arrived meanwhile before the first client.
         self.run_iteration(&mut ready, &mut due, Some(Time(0)))
     }
 
-    /// Where it listens: to the platform's clients first.
+    /// Addresses of the listeners, the one for platform clients first.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.listeners.iter().filter_map(|(_, listener)| listener.local_addr().ok()).collect()
     }
 
-    /// Serves until SIGTERM has come and all that was taken is answered.
+    /// Serves until the process was told to stop and every accepted request is answered.
     ///
     /// # Errors
     ///
-    /// When the poller fails.
+    /// Returns an error if the poller fails.
     pub fn run(mut self) -> io::Result<()> {
         let (mut ready, mut due) = (Vec::new(), Vec::new());
         while self.is_running() {
@@ -303,7 +322,7 @@
         Ok(())
     }
 
-    /// Waits until anything is ready or due, or until a time, and does it.
+    /// Waits until a socket is ready, a timer is due or `until` has passed, then handles what there is.
     fn run_iteration(
         &mut self,
         ready: &mut Vec<Ready>,
@@ -311,18 +330,25 @@
         until: Option<Time>,
     ) -> io::Result<()> {
         let now = self.net.clock.now();
-        let step = self.core.has_events().then(|| self.last_step.after(self.settings.router.tick));
-        let wake =
-            self.net.timers.next().into_iter().chain(step).chain(self.core.gossip_due()).chain(until).min();
-        let pause = if self.unfinished_clients.is_empty() {
+        let next_step = self.core.has_events().then(|| self.last_step_at.after(self.settings.router.tick));
+        let wake = self
+            .net
+            .timers
+            .next()
+            .into_iter()
+            .chain(next_step)
+            .chain(self.core.gossip_due())
+            .chain(until)
+            .min();
+        let timeout = if self.unfinished_clients.is_empty() {
             wake.map(|at| at.since(now))
         } else {
             Some(Duration::ZERO)
         };
-        self.net.poll.wait(pause, ready)?;
+        self.net.poll.wait(timeout, ready)?;
         let now = self.net.clock.now();
         self.lifecycle.advance(now);
-        // Before any request is read: whoever has the answer to a call for a drain is told of it from then on.
+        // Before any request is read, as a drain applies from the response to the operator's call on.
         self.apply_drain_request(now);
         for key in std::mem::take(&mut self.unfinished_clients) {
             self.client_ready(now, key);
@@ -335,7 +361,7 @@
             self.handle_timer(now, event);
         }
         self.flush_backend(now);
-        if self.core.has_events() && now.since(self.last_step) >= self.settings.router.tick {
+        if self.core.has_events() && now.since(self.last_step_at) >= self.settings.router.tick {
             self.step(now);
         }
         self.send_gossip(now);
@@ -344,14 +370,20 @@
         Ok(())
     }
 
-    /// Whether the process goes on: it ends once it was told to and nothing is owed to anyone.
+    /// Whether the loop must continue. It ends once the process was told to stop and no response is
+    /// outstanding.
     fn is_running(&mut self) -> bool {
         let now = self.net.clock.now();
         self.lifecycle.advance(now);
         if self.lifecycle.is_stopping() {
-            let owed =
+            let responses_pending =
                 self.core.open_queries() > 0 || self.clients.values().any(Client::has_pending_response);
-            self.lifecycle.check_completion(now, !self.listeners.is_empty(), owed, !self.clients.is_empty());
+            self.lifecycle.check_completion(
+                now,
+                !self.listeners.is_empty(),
+                responses_pending,
+                !self.clients.is_empty(),
+            );
         }
         self.lifecycle.phase() != LifecyclePhase::Ended
     }
@@ -404,7 +436,7 @@
                 self.backend.end_silent(&mut self.net, now);
             }
             TimerEvent::IdleSweep => self.sweep(now),
-            // The outcomes come with the gather that follows.
+            // The backend's outcomes are collected at the end of this iteration.
             TimerEvent::CancelsRead => {}
             TimerEvent::DrainIdleEnd => self.close_drained_idle(now),
             TimerEvent::UpdateGauges => self.update_gauges(now),
@@ -414,7 +446,7 @@
         }
     }
 
-    /// Writes what is queued for the servers, and hands what ended at them to the core.
+    /// Writes what is queued for the servers, and hands the attempts and probes that ended to the core.
     fn flush_backend(&mut self, now: Time) {
         let (mut now, mut flushed) = (now, Flushed::HeldUp);
         while flushed == Flushed::HeldUp {
@@ -424,16 +456,18 @@
             }
             flushed = self.backend.flush(&mut self.net, now);
         }
-        for done in self.backend.done.drain(..) {
-            match done {
+        for completion in self.backend.done.drain(..) {
+            match completion {
                 Done::Attempt(id, verdict, value, load) => self.core.outcome(now, id, verdict, value, load),
-                Done::Probe(server, verdict, took, load) => self.core.probed(server, verdict, took, load),
+                Done::Probe(server, verdict, duration, load) => {
+                    self.core.probed(server, verdict, duration, load)
+                }
             }
         }
     }
 
     fn step(&mut self, now: Time) {
-        self.last_step = now;
+        self.last_step_at = now;
         let mut commands = std::mem::take(&mut self.commands);
         self.core.step(now, &mut commands);
         if let Some(trace) = &mut self.trace {
@@ -447,9 +481,9 @@
         self.flush_backend(now);
     }
 
-    /// What was gathered is as old as the turn has taken, and the process may have been held up in it. Where that is long,
-    /// what has come meanwhile is taken in before anything is sent: clients that have left, servers that drain. Gives
-    /// the time it is.
+    /// Handles new events before anything is sent, if the iteration has taken long or the process was
+    /// suspended: clients may have disconnected and servers may be draining meanwhile. Returns the current
+    /// time.
     fn catch_up(&mut self, now: Time) -> Time {
         if !self.net.clock.is_stale(now) {
             return now;
@@ -471,14 +505,14 @@
 
     fn execute(&mut self, now: Time, command: Command) {
         match command {
-            // Its query ended after the step that wanted it sent.
+            // The query ended after the step that issued this command.
             Command::Send(send) if !self.core.is_part_open(send.attempt.0) => {
                 self.core.outcome(now, send.attempt, Verdict::NotSent, None, LoadReport::default());
             }
             Command::Send(send) => {
                 self.net.timers.arm(send.deadline, TimerEvent::AttemptTimeout(send.attempt));
-                if let Some(latest) = send.start_before.filter(|latest| *latest < send.deadline) {
-                    self.net.timers.arm(latest, TimerEvent::StartBefore(send.attempt));
+                if let Some(start_before) = send.start_before.filter(|at| *at < send.deadline) {
+                    self.net.timers.arm(start_before, TimerEvent::StartBefore(send.attempt));
                 }
                 self.backend.send(&mut self.net, now, send);
             }
@@ -489,16 +523,16 @@
             Command::Finish(reply, answer) => self.finish_query(now, reply, answer),
             Command::SetTimer(at, timer) => self.net.timers.arm(at, TimerEvent::Core(timer)),
             Command::SetDeadline(at, query) => self.net.timers.arm(at, TimerEvent::QueryDeadline(query)),
-            // The watch goes on by itself.
+            // The discovery watch reconnects by its own schedule.
             Command::WatchServers => {}
         }
     }
 
     fn sweep(&mut self, now: Time) {
-        let pause = MAX_SWEEP_INTERVAL
+        let interval = MAX_SWEEP_INTERVAL
             .min(self.settings.connection_idle / SWEEPS_PER_IDLE_LIMIT)
             .max(self.settings.router.tick);
-        self.net.timers.arm(now.after(pause), TimerEvent::IdleSweep);
+        self.net.timers.arm(now.after(interval), TimerEvent::IdleSweep);
         self.backend.sweep(&self.net, now);
         match self.inventory.as_mut().map(|inventory| inventory.reread(now)) {
             Some(Ok(Some(list))) => apply_list(&mut self.core, &mut self.backend, &list, None),
@@ -507,14 +541,14 @@
         }
         self.sweep_clients(now);
         self.close_drained_idle(now);
-        // Whoever had to be left alone a moment ago may have to make room by now.
+        // A client that could not be closed before may have become idle or slow enough by now.
         if std::mem::take(&mut self.accept_paused) {
             self.rearm_listeners();
         }
     }
 }
 
-/// The directory that processes of one broker share, where they were given one.
+/// The directory shared by the processes of one broker, if `TMPDIR` is set.
 fn shared_directory() -> Option<PathBuf> {
     std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty()).map(PathBuf::from)
 }
--- a/src/broker/accept.rs
+++ b/src/broker/accept.rs
@@ -1,4 +1,4 @@
-//! Connections of clients as they come, and who goes when there is no room for one more.
+//! Accepting client connections, and closing some of them when a limit is reached.
 
 use std::io;
 use std::time::Duration;
@@ -13,41 +13,43 @@
 use crate::net::http::Response;
 use crate::net::{LISTEN_BACKLOG, TimerEvent, listen};
 
-/// A client that has not sent anything for so long after connecting may have to make room for another.
+/// A client that has sent nothing for this long after connecting may be closed to make room for another.
 const SILENT_CLIENT_AFTER: Duration = Duration::from_millis(100);
-/// Connections accepted at once, before those that are ready get their turn.
+/// Connections accepted per listener and iteration, so that other ready sockets get their turn.
 const MAX_ACCEPTS_PER_ITERATION: usize = 64;
 
 impl Broker {
-    /// Binds the listeners: clients may come.
+    /// Starts to listen for clients and for gossip of other brokers.
     pub(super) fn listen(&mut self) -> io::Result<()> {
-        let invalid = |problem: String| io::Error::new(io::ErrorKind::InvalidInput, problem);
+        let invalid = |message: String| io::Error::new(io::ErrorKind::InvalidInput, message);
         let ogc = self.config.ogc.as_ref().map(|ogc| ogc.listen);
         let fronts = [
             (CLIENT_LISTENER_KEY, Some(self.config.listen), "clients"),
             (OGC_LISTENER_KEY, ogc, "OGC clients"),
         ];
-        for (key, at, front) in fronts {
-            let Some(at) = at else { continue };
-            let adopted = self.upgrade.as_mut().and_then(|upgrade| upgrade.take_listener(role_of(key), at));
-            let listener = adopted.map_or_else(|| listen(at, self.has_control), Ok);
-            let listener = listener.map_err(|error| invalid(format!("{at}: {error}")))?;
+        for (key, address, front) in fronts {
+            let Some(address) = address else { continue };
+            let adopted =
+                self.upgrade.as_mut().and_then(|upgrade| upgrade.take_listener(role_of(key), address));
+            let listener = adopted.map_or_else(|| listen(address, self.has_control), Ok);
+            let listener = listener.map_err(|error| invalid(format!("{address}: {error}")))?;
             self.net.poll.add(&listener, key, true, false)?;
             tracing::info!("{} listens to {front} on {}", self.config.name, listener.local_addr()?);
             self.listeners.push((key, listener));
         }
-        if let Some((socket, _)) = &self.peers {
-            self.net.poll.add(socket, PEERS_KEY, true, false)?;
+        if let Some(peers) = &self.peers {
+            self.net.poll.add(&peers.socket, PEERS_KEY, true, false)?;
         }
         Ok(())
     }
 
-    /// Takes connections that wait. Gives whether there may be more.
-    pub(super) fn accept(&mut self, now: Time, at: usize) -> bool {
+    /// Accepts waiting connections. Returns whether there may be more.
+    pub(super) fn accept(&mut self, now: Time, listener_key: usize) -> bool {
         let mut more = true;
         for accepted in 0..MAX_ACCEPTS_PER_ITERATION {
             if self.clients.len() >= self.max_clients {
-                // Whether another one waits is for the next report to say: nobody has to go for none.
+                // The poller reports whether another connection is waiting; closing a client now might be
+                // needless.
                 if accepted > 0 {
                     break;
                 }
@@ -56,25 +58,28 @@
                     return false;
                 }
             }
-            let Some((_, listener)) = self.listeners.iter().find(|(key, _)| *key == at) else { return false };
+            let Some((_, listener)) = self.listeners.iter().find(|(key, _)| *key == listener_key) else {
+                return false;
+            };
             match listener.accept() {
                 Ok((stream, _)) => {
                     let key = self.net.new_key();
-                    let fit = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
-                    if fit.and_then(|()| self.net.poll.add(&stream, key, true, false)).is_ok() {
-                        self.clients.insert(key, Client::new(stream, at, now));
+                    let prepared = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
+                    if prepared.and_then(|()| self.net.poll.add(&stream, key, true, false)).is_ok() {
+                        self.clients.insert(key, Client::new(stream, listener_key, now));
                         self.client_ready(now, key);
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // Those that wait come once one has left, or with the next sweep: asked for again at once, they would
-                // be reported at once, and take what discovery and servers need.
+                // Waiting connections are accepted once a client has left or at the next sweep. Rearming at
+                // once would make the poller report them again immediately, and take time that discovery and
+                // servers need.
                 Err(error) if is_out_of_resources(&error) => {
                     self.make_room(now);
                     self.accept_paused = true;
                     return false;
                 }
-                // The client has left.
+                // The queue is empty, or the client has disconnected.
                 Err(_) => {
                     more = false;
                     break;
@@ -85,26 +90,27 @@
         more
     }
 
-    /// Asks for the next report of each listener.
+    /// Asks the poller for the next report of each listener.
     pub(super) fn rearm_listeners(&self) {
         for (key, listener) in &self.listeners {
             let _ = self.net.poll.rearm(listener, *key, true, false);
         }
     }
 
-    /// Closes the connection that is missed least: one that is over but for its end, or on which nothing was
-    /// said for a while; the one that has been idle longest; one that does not get on with its request, which is told
-    /// so, and at last one that does not take its answer.
+    /// Closes the connection whose loss matters least, and returns whether there was one. In this order: one
+    /// that only waits for the client's close or was silent since it connected; the one that has been idle
+    /// longest; one whose request makes no progress, which gets a 503 response; one that does not read its
+    /// response.
     pub(super) fn make_room(&mut self, now: Time) -> bool {
         let rank = |client: &Client<Pending>| {
-            let stands = now.since(client.phase_since());
+            let phase_age = now.since(client.phase_since());
             match client.phase() {
                 Phase::Lingering => Some(0),
-                Phase::Idle { first: true } if stands >= SILENT_CLIENT_AFTER => Some(0),
+                Phase::Idle { first: true } if phase_age >= SILENT_CLIENT_AFTER => Some(0),
                 Phase::Idle { first: false } => Some(1),
                 Phase::Idle { first: true } => Some(2),
-                Phase::Reading { .. } if stands >= SLOW_CLIENT_AFTER => Some(3),
-                Phase::Responding { .. } if stands >= SLOW_CLIENT_AFTER => Some(4),
+                Phase::Reading { .. } if phase_age >= SLOW_CLIENT_AFTER => Some(3),
+                Phase::Responding { .. } if phase_age >= SLOW_CLIENT_AFTER => Some(4),
                 _ => None,
             }
         };
@@ -112,9 +118,9 @@
             let ranked = self.clients.iter().filter_map(|(key, c)| Some((rank(c)?, c.phase_since(), *key)));
             let Some((.., key)) = ranked.min() else { return false };
             let Some(client) = self.clients.get_mut(&key) else { return false };
-            // What it has said since it was last polled_at at may make it one that is not to go.
-            let before = client.is_idle();
-            if before && client.read(now) == ConnectionState::Open && !client.is_idle() {
+            // Input that arrived since the last read may mean that this client is no longer idle.
+            let was_idle = client.is_idle();
+            if was_idle && client.read(now) == ConnectionState::Open && !client.is_idle() {
                 self.unfinished_clients.push(key);
                 continue;
             }
@@ -127,8 +133,9 @@
         }
     }
 
-    /// Takes those that already wait in the listeners' queues, then closes them: some in each turn of the loop, and no
-    /// more than a queue holds, as clients that come as fast as they are taken would keep the loop for themselves.
+    /// Accepts the connections that already wait in the listeners' queues, then closes the listeners. It
+    /// takes a limited number in each iteration and no more than a queue holds in total: clients that connect
+    /// as fast as they are accepted would otherwise occupy the loop.
     pub(super) fn stop_listening(&mut self, now: Time) {
         let more = [CLIENT_LISTENER_KEY, OGC_LISTENER_KEY].map(|key| self.accept(now, key)).contains(&true);
         self.final_accepts += MAX_ACCEPTS_PER_ITERATION;
@@ -143,7 +150,7 @@
     }
 }
 
-/// Whether nothing more can be accepted as the process, or the system, has no descriptors or memory left.
+/// Whether accepting failed because the process or the system has run out of descriptors or memory.
 pub(super) fn is_out_of_resources(error: &io::Error) -> bool {
     let errors = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
     errors.iter().any(|errno| error.raw_os_error() == Some(errno.raw_os_error()))
--- a/src/broker/peers.rs
+++ b/src/broker/peers.rs
@@ -1,6 +1,6 @@
 //! Datagrams between brokers.
 
-use super::{Broker, PEERS_KEY};
+use super::{Broker, GossipPeers, PEERS_KEY};
 use crate::gossip;
 use crate::interface::Time;
 
@@ -10,9 +10,9 @@
 impl Broker {
     /// Tells other brokers what is due. What can't be sent now is left: the next word comes soon.
     pub(super) fn send_gossip(&mut self, now: Time) {
-        for (datagram, hearers) in self.core.take_gossip(now) {
-            let Some((socket, all)) = &self.peers else { continue };
-            for at in hearers.into_iter().filter_map(|hearer| all.get(hearer)) {
+        for (datagram, recipients) in self.core.take_gossip(now) {
+            let Some(GossipPeers { socket, addresses }) = &self.peers else { continue };
+            for at in recipients.into_iter().filter_map(|peer| addresses.get(peer)) {
                 let _ = socket.send_to(&datagram, at);
             }
         }
@@ -20,11 +20,13 @@
 
     /// Takes what other brokers say, and nobody else: a bounded number of datagrams in one turn.
     pub(super) fn receive_gossip(&mut self) {
-        let Some((socket, all)) = &self.peers else { return };
-        let mut bytes = [0; gossip::MAX_DATAGRAM_BYTES + 1];
+        let Some(GossipPeers { socket, addresses }) = &self.peers else { return };
+        let mut buffer = [0; gossip::MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
-            match socket.recv_from(&mut bytes) {
-                Ok((length, from)) if all.contains(&from) => self.core.receive_gossip(&bytes[..length]),
+            match socket.recv_from(&mut buffer) {
+                Ok((length, sender)) if addresses.contains(&sender) => {
+                    self.core.receive_gossip(&buffer[..length])
+                }
                 Ok(_) => {}
                 Err(_) => break,
             }
--- a/src/broker/upgrade.rs
+++ b/src/broker/upgrade.rs
@@ -31,7 +31,7 @@
     /// Gives the listening sockets to the successor, and goes on to accept.
     fn offer_sockets(&mut self, now: Time) {
         let limits = self.joint_limits(self.clients.len());
-        self.snapshot_taken = now;
+        self.snapshot_taken_at = now;
         let snapshot = serde_json::to_string(&self.core.snapshot(now)).ok();
         let Some(upgrade) = &mut self.upgrade else { return };
         let mut roles = Vec::new();
@@ -40,9 +40,9 @@
             roles.push(role_of(*key));
             sockets.push(listener.as_fd());
         }
-        if let Some((socket, _)) = &self.peers {
+        if let Some(peers) = &self.peers {
             roles.push(SocketRole::Peers);
-            sockets.push(socket.as_fd());
+            sockets.push(peers.socket.as_fd());
         }
         let list = self.watch.as_ref().map(|watch| watch.listing().to_value(&self.net.clock).to_string());
         let offer = Offer { roles, clients: self.clients.len(), snapshot, list };
@@ -62,12 +62,12 @@
             self.net.poll.remove(&listener);
             self.released.push((key, listener));
         }
-        if let Some((socket, _)) = &self.peers {
-            self.net.poll.remove(socket);
+        if let Some(peers) = &self.peers {
+            self.net.poll.remove(&peers.socket);
         }
         // Cold servers fall under the sum of both processes, and the budget of further attempts is one.
         self.core.suspend_budgets();
-        let spending = self.core.spending(now, self.snapshot_taken);
+        let spending = self.core.spending(now, self.snapshot_taken_at);
         if let Some(upgrade) = &mut self.upgrade {
             upgrade.close_rendezvous(&self.net);
             upgrade.send_spending(&self.net, serde_json::to_string(&spending).unwrap_or_default());
@@ -90,8 +90,8 @@
                 self.listeners.push((key, listener));
             }
         }
-        if let Some((socket, _)) = &self.peers {
-            let _ = self.net.poll.add(socket, PEERS_KEY, true, false);
+        if let Some(peers) = &self.peers {
+            let _ = self.net.poll.add(&peers.socket, PEERS_KEY, true, false);
         }
         if let Some(upgrade) = &mut self.upgrade {
             upgrade.listen_for_successor(&self.net);
