--- a/src/broker.rs
+++ b/src/broker.rs
@@ -151,7 +151,7 @@
         let (signal, wake) = UnixStream::pair()?;
         signal.set_nonblocking(true)?;
         wake.set_nonblocking(true)?;
-        let signal_flags = SignalFlags::listen(&wake)?;
+        let signal_flags = SignalFlags::install(&wake)?;
         net.poll.add(&signal, SIGNAL_KEY, true, false)?;
         let settings = Arc::new(config.settings.clone());
         let mut core =
--- a/src/broker/clients.rs
+++ b/src/broker/clients.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: taken whole, one at a time on a connection, and answered.
+//! Client requests: each is read completely, one at a time per connection, and answered.
 
 use super::{Broker, OGC_LISTENER_KEY, SLOW_CLIENT_AFTER};
 use crate::control::Outcome;
@@ -8,9 +8,10 @@
 use crate::net::client::{Client, ConnectionState, Phase, RequestStatus, TimeoutAction};
 use crate::net::http::Response;
 
-/// What a client's buffer may hold while buffers together hold more than they may: an ordinary request.
+/// Size of an ordinary request in bytes. While all buffers together exceed their limit, a client with a
+/// larger incomplete request is rejected.
 const ORDINARY_REQUEST_BYTES: usize = 4 * 1024;
-/// Requests taken of one client in one turn.
+/// Requests taken from one client per iteration, so that other clients get their turn.
 const MAX_REQUESTS_PER_ITERATION: usize = 8;
 
 impl Broker {
@@ -24,29 +25,29 @@
         }
     }
 
-    /// Takes the requests that are whole, one at a time, and writes what can be written.
+    /// Accepts complete requests, one at a time, and writes pending responses.
     pub(super) fn serve(&mut self, now: Time, key: usize) {
         self.serve_requests(now, key);
         self.account_buffer(key);
     }
 
-    /// Counts what a client's buffer holds now.
+    /// Updates the total buffer size for a client.
     pub(super) fn account_buffer(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(&key) else { return };
-        let held = client.buffer_bytes();
+        let buffer_bytes = client.buffer_bytes();
         self.buffered_bytes =
-            self.buffered_bytes - std::mem::replace(&mut client.accounted_bytes, held) + held;
+            self.buffered_bytes - std::mem::replace(&mut client.accounted_bytes, buffer_bytes) + buffer_bytes;
     }
 
     pub(super) fn serve_requests(&mut self, now: Time, key: usize) {
-        let mut turn = 0;
+        let mut accepted = 0;
         loop {
             let Some(client) = self.clients.get_mut(&key) else { return };
             if client.write(now) == ConnectionState::Closed {
                 self.drop_client(key);
                 return;
             }
-            // A client that sends on without reading its answers is not taken from until it does.
+            // No requests are taken from a client that keeps sending without reading its responses.
             match client.request_status() {
                 Ok(RequestStatus::Incomplete)
                     if self.buffered_bytes > self.max_buffered_bytes
@@ -59,12 +60,12 @@
                     self.unfinished_clients.push(key);
                     break;
                 }
-                Ok(RequestStatus::Ready) if turn == MAX_REQUESTS_PER_ITERATION => {
+                Ok(RequestStatus::Ready) if accepted == MAX_REQUESTS_PER_ITERATION => {
                     self.unfinished_clients.push(key);
                     break;
                 }
                 Ok(RequestStatus::Ready) => {
-                    turn += 1;
+                    accepted += 1;
                     self.take_request(now, key);
                 }
                 Err(error) => {
@@ -73,7 +74,7 @@
             }
         }
         let Some(client) = self.clients.get_mut(&key) else { return };
-        // A report that was asked for and has not come still will.
+        // With unchanged interest, the report that was asked for before is still due, so no rearm is needed.
         let write = client.wants_write();
         if client.write_interest.replace(write) != Some(write)
             && self.net.poll.rearm(&client.stream, key, true, write).is_err()
@@ -82,20 +83,22 @@
         }
     }
 
-    /// Takes the request that a client's connection holds whole.
+    /// Takes the complete request from a client's connection and starts its query or responds.
     pub(super) fn take_request(&mut self, now: Time, key: usize) {
-        // A turn may take long, and a drain holds from the answer to its call on.
+        // An iteration may take long, and a drain applies from the response to the operator's call on.
         self.apply_drain_request(now);
-        let stay = !self.lifecycle.is_closing();
-        let able = self.core.can_serve() && self.lifecycle.is_available();
+        let keep_open = !self.lifecycle.is_closing();
+        let can_serve = self.core.can_serve() && self.lifecycle.is_available();
         let Some(client) = self.clients.get_mut(&key) else { return };
         let (keep_alive, taken) = match client.request() {
-            Ok(request) => {
-                (request.keep_alive, self.front.take(client.listener == OGC_LISTENER_KEY, &request, able))
-            }
+            Ok(request) => (
+                request.keep_alive,
+                self.front.take(client.listener == OGC_LISTENER_KEY, &request, can_serve),
+            ),
             Err(error) => (false, Taken::Answered(Response::text(error.status(), error.to_string()))),
         };
-        // The client's time counts from its sending, of which the first byte in is the nearest sign.
+        // The time limit counts from when the client sent the request; the first byte received is the best
+        // estimate.
         let spent = now.since(client.request_started_at()) + self.settings.router.network_allowance;
         client.consume_request(keep_alive);
         let response = match taken {
@@ -103,11 +106,11 @@
             Taken::Query(mut query, pending) => {
                 query.time_left =
                     query.time_left.saturating_sub(spent).min(self.lifecycle.shutdown_deadline.since(now));
-                if let Some(holder) =
-                    self.core.reply_id_of(&query.name).filter(|holder| holder.0 != key as u64)
+                if let Some(earlier) =
+                    self.core.reply_id_of(&query.name).filter(|earlier| earlier.0 != key as u64)
                 {
-                    // Its client may have gone and sent the request once more, on this connection.
-                    self.read_client(now, holder.0 as usize);
+                    // The earlier client may have disconnected and retried the request on this connection.
+                    self.read_client(now, earlier.0 as usize);
                 }
                 let taken = self.core.accept(now, query, ReplyId(key as u64));
                 let Some(client) = self.clients.get_mut(&key) else { return };
@@ -116,24 +119,24 @@
                         client.start_query(now, id, pending);
                         return;
                     }
-                    Err(why) => {
-                        let outcome = match why {
+                    Err(reason) => {
+                        let outcome = match reason {
                             NotAccepted::AtCapacity { .. } => Outcome::Throttled,
                             NotAccepted::NameInUse => Outcome::Faulted,
                         };
                         self.operations.statistics().request_ended(pending.class, outcome);
-                        self.front.not_taken(&pending, why)
+                        self.front.not_taken(&pending, reason)
                     }
                 }
             }
         };
         if let Some(client) = self.clients.get_mut(&key) {
-            client.queue_response(now, response, stay);
+            client.queue_response(now, response, keep_open);
         }
     }
 
     pub(super) fn finish_query(&mut self, now: Time, reply: ReplyId, answer: FinalAnswer) {
-        let (key, stay) = (reply.0 as usize, !self.lifecycle.is_closing());
+        let (key, keep_open) = (reply.0 as usize, !self.lifecycle.is_closing());
         let Some(client) = self.clients.get_mut(&key) else { return };
         let Some(pending) = client.finish_query(now) else { return };
         let outcome = match answer {
@@ -142,11 +145,12 @@
             FinalAnswer::Failed => Outcome::Faulted,
         };
         self.operations.statistics().request_ended(pending.class, outcome);
-        client.queue_response(now, self.front.answer(&pending, answer), stay);
+        client.queue_response(now, self.front.answer(&pending, answer), keep_open);
         self.serve(now, key);
     }
 
-    /// Reads what a client has sent, and sees whether it has gone. What it holds is taken in its own turn.
+    /// Reads a client's input and detects whether it has disconnected. Requests in the input are taken in the
+    /// next iteration.
     pub(super) fn read_client(&mut self, now: Time, key: usize) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         match client.read(now) {
@@ -167,15 +171,16 @@
         }
     }
 
-    /// Ends connections that have stood as they do for too long.
+    /// Closes connections that have exceeded the time limit of their phase.
     pub(super) fn sweep_clients(&mut self, now: Time) {
-        let longest =
+        let longest_deadline =
             self.settings.router.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-        let expired =
-            |(key, client): (&usize, &Client<Pending>)| Some((*key, client.timeout_action(now, longest)?));
+        let expired = |(key, client): (&usize, &Client<Pending>)| {
+            Some((*key, client.timeout_action(now, longest_deadline)?))
+        };
         let expired: Vec<(usize, TimeoutAction)> = self.clients.iter().filter_map(expired).collect();
-        for (key, then) in expired {
-            match (then, self.clients.get_mut(&key)) {
+        for (key, action) in expired {
+            match (action, self.clients.get_mut(&key)) {
                 (TimeoutAction::CloseIdle, _) => self.close_if_idle(now, key),
                 (TimeoutAction::RejectRequest, Some(client)) => {
                     client.queue_response(now, Response::text(408, "the request did not end in time"), false);
@@ -184,7 +189,8 @@
                 _ => self.drop_client(key),
             }
         }
-        // Answers that are not taken are held too: whoever has taken nothing for longest has the least to lose.
+        // Unread responses occupy memory too: the clients that have read nothing for the longest time are
+        // closed first.
         while self.buffered_bytes > self.max_buffered_bytes {
             let slow = |client: &&Client<Pending>| {
                 matches!(client.phase(), Phase::Responding { .. })
@@ -197,7 +203,7 @@
         }
     }
 
-    /// Ends a connection that rests, unless a request has come meanwhile: that is taken.
+    /// Closes an idle connection, unless a request has just arrived: that is served.
     pub(super) fn close_if_idle(&mut self, now: Time, key: usize) {
         self.client_ready(now, key);
         if let Some(client) = self.clients.get_mut(&key).filter(|client| client.is_idle())
@@ -207,7 +213,7 @@
         }
     }
 
-    /// Ends the connections that are idle; the others end with their answer.
+    /// Closes idle connections; the others are closed after their response.
     pub(super) fn close_idle_clients(&mut self, now: Time) {
         for key in self.clients.keys().copied().collect::<Vec<_>>() {
             self.close_if_idle(now, key);
--- a/src/broker/discovery.rs
+++ b/src/broker/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of servers: asked for, watched, and given to the core.
+//! The server list: watched at discovery and passed to the core.
 
 use super::Broker;
 use super::DISCOVERY_KEY;
@@ -8,11 +8,12 @@
 use crate::interface::{ServerState, Time};
 use crate::net::TimerEvent;
 
-/// A server that drains is sent to for this part of the settings' grace, where it was told just now: the rest is left
-/// for what goes on the way and for a busy machine.
+/// A draining server gets new attempts for this fraction (1/n) of the configured drain grace, if the list has
+/// just arrived. The rest of the grace covers network delay and a busy machine.
 const DRAIN_GRACE_DIVISOR: u32 = 2;
 
 impl Broker {
+    /// Ends an expired watch, applies an older list that is due, and connects if the schedule allows it.
     pub(super) fn update_watch(&mut self, now: Time) {
         if let Some(error) = self.watch.as_ref().and_then(|watch| watch.is_over(now)) {
             self.end_watch(now, &error);
@@ -34,14 +35,15 @@
         self.arm_watch();
     }
 
+    /// Reads from the watch and applies the lists that it has delivered.
     pub(super) fn watch_ready(&mut self, now: Time) {
         let Some(watch) = &mut self.watch else { return };
         let mut lists = Vec::new();
         let result = watch.ready(now, &mut lists);
         for Told { list, at_once } in lists {
-            // It came since the loop last polled_at, and may have waited for that long.
-            let until = self.polled_at.after(self.settings.drain_grace / DRAIN_GRACE_DIVISOR);
-            self.apply_update(now, &list, Some(until).filter(|until| at_once && *until > now));
+            // The list arrived after the last poll, and may have waited since then.
+            let send_until = self.polled_at.after(self.settings.drain_grace / DRAIN_GRACE_DIVISOR);
+            self.apply_update(now, &list, Some(send_until).filter(|until| at_once && *until > now));
         }
         let Some(watch) = &mut self.watch else { return };
         match (result, watch.stream()) {
@@ -54,33 +56,36 @@
         }
     }
 
-    /// Takes a list that discovery has told; those that drain in it may be sent to until then, if at all.
-    pub(super) fn apply_update(&mut self, now: Time, list: &Listing, until: Option<Time>) {
-        apply_list(&mut self.core, &mut self.backend, list, until);
+    /// Applies a list from discovery. Servers that it shows as draining may get attempts until
+    /// `send_until`, if given.
+    pub(super) fn apply_update(&mut self, now: Time, list: &Listing, send_until: Option<Time>) {
+        apply_list(&mut self.core, &mut self.backend, list, send_until);
         let draining = list.members.iter().filter(|(member, _)| member.state == ServerState::Draining);
         for (member, _) in draining {
-            self.net
-                .timers
-                .arm(until.unwrap_or(now), TimerEvent::DrainGraceExpired(self.core.server_id(&member.name)));
+            self.net.timers.arm(
+                send_until.unwrap_or(now),
+                TimerEvent::DrainGraceExpired(self.core.server_id(&member.name)),
+            );
         }
         if let Some(store) = &mut self.store {
             store.record_list(list);
         }
     }
 
-    /// Says why a watch failed: once, and again only after one has stood meanwhile, as calls to an agent that is
-    /// away follow each other closely.
-    pub(super) fn log_watch_failure(&mut self, why: &WatchError) {
+    /// Logs error a watch failed. Only the first failure since the last working watch is a warning, as calls
+    /// to an unreachable agent are retried at short intervals.
+    pub(super) fn log_watch_failure(&mut self, error: &WatchError) {
         match std::mem::replace(&mut self.watch_failure_logged, true) {
-            false => tracing::warn!("discovery: {why}"),
-            true => tracing::debug!("discovery: {why}"),
+            false => tracing::warn!("discovery: {error}"),
+            true => tracing::debug!("discovery: {error}"),
         }
     }
 
-    pub(super) fn end_watch(&mut self, now: Time, why: &WatchError) {
-        let stood = |watch: &Watch| matches!(watch.phase(), Phase::Open(_) | Phase::List(_));
-        self.watch_failure_logged &= !self.watch.as_ref().is_some_and(stood);
-        self.log_watch_failure(why);
+    /// Ends the current watch after an error; the next one starts by schedule.
+    pub(super) fn end_watch(&mut self, now: Time, error: &WatchError) {
+        let was_working = |watch: &Watch| matches!(watch.phase(), Phase::Open(_) | Phase::List(_));
+        self.watch_failure_logged &= !self.watch.as_ref().is_some_and(was_working);
+        self.log_watch_failure(error);
         if let Some(stream) = self.watch.as_mut().and_then(|watch| watch.drop_link(now)) {
             self.net.poll.remove(&stream);
         }
@@ -88,10 +93,11 @@
         self.arm_watch();
     }
 
+    /// Sets the timer for the next update of the watch.
     pub(super) fn arm_watch(&mut self) {
         let Some(watch) = &self.watch else { return };
-        // Not a moment later than it is due, however often it is polled_at at: bytes that come again and again in the last
-        // millisecond would put it off without end.
+        // The timer is armed only when the due time changes: rearming it at each event would postpone it
+        // again and again while bytes keep arriving in the last millisecond.
         let due = watch.due();
         if due != std::mem::replace(&mut self.watch_timer_at, due) {
             self.net.timers.arm(due, TimerEvent::DiscoveryWatch);
@@ -99,10 +105,10 @@
     }
 }
 
-/// Gives a list to the core, and its addresses to the connections.
-pub(super) fn apply_list(core: &mut Core, backend: &mut Backend, list: &Listing, until: Option<Time>) {
+/// Passes a list to the core, and the addresses of the servers that are up to the backend.
+pub(super) fn apply_list(core: &mut Core, backend: &mut Backend, list: &Listing, send_until: Option<Time>) {
     let members: Vec<_> = list.members.iter().map(|(member, _)| member.clone()).collect();
-    for server in core.apply_server_list(list.whole, list.index, &members, until) {
+    for server in core.apply_server_list(list.whole, list.index, &members, send_until) {
         backend.shut(server);
     }
     let (up, draining) = core.server_counts();
--- a/src/broker/peers.rs
+++ b/src/broker/peers.rs
@@ -1,14 +1,15 @@
-//! Datagrams between brokers.
+//! Gossip datagrams between brokers.
 
 use super::{Broker, GossipPeers, PEERS_KEY};
 use crate::gossip;
 use crate::interface::Time;
 
-/// Datagrams of other brokers taken in one turn.
+/// Datagrams received per iteration, so that other ready sockets get their turn.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 128;
 
 impl Broker {
-    /// Tells other brokers what is due. What can't be sent now is left: the next word comes soon.
+    /// Sends the gossip that is due. A datagram that can't be sent now is dropped, as the next one follows
+    /// soon.
     pub(super) fn send_gossip(&mut self, now: Time) {
         for (datagram, recipients) in self.core.take_gossip(now) {
             let Some(GossipPeers { socket, addresses }) = &self.peers else { continue };
@@ -18,7 +19,7 @@
         }
     }
 
-    /// Takes what other brokers say, and nobody else: a bounded number of datagrams in one turn.
+    /// Receives a bounded number of datagrams and ignores those of unknown senders.
     pub(super) fn receive_gossip(&mut self) {
         let Some(GossipPeers { socket, addresses }) = &self.peers else { return };
         let mut buffer = [0; gossip::MAX_DATAGRAM_BYTES + 1];
--- a/src/broker/signals.rs
+++ b/src/broker/signals.rs
@@ -1,4 +1,4 @@
-//! What signals ask for: SIGHUP reads the configuration again, SIGTERM ends the process.
+//! Signals: SIGHUP reloads the configuration, SIGTERM stops the process.
 
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
@@ -12,7 +12,7 @@
 use crate::interface::Time;
 use crate::net::TimerEvent;
 
-/// Marks that signals leave for the loop.
+/// Flags that the signal handlers set for the loop.
 #[derive(Default)]
 pub(super) struct SignalFlags {
     pub(super) stop: Arc<AtomicBool>,
@@ -20,8 +20,8 @@
 }
 
 impl SignalFlags {
-    /// Takes the signals over: each leaves its flag, then a byte on `wake`.
-    pub(super) fn listen(wake: &UnixStream) -> io::Result<Self> {
+    /// Installs the signal handlers: each sets its flag, then writes a byte to `wake`.
+    pub(super) fn install(wake: &UnixStream) -> io::Result<Self> {
         let flags = SignalFlags::default();
         for (signal, flag) in [(SIGTERM, &flags.stop), (SIGHUP, &flags.reload)] {
             signal_hook::flag::register(signal, flag.clone())?;
@@ -33,7 +33,7 @@
 
 impl Broker {
     pub(super) fn handle_signals(&mut self, now: Time) {
-        // Marks are polled_at at after the bytes are gone: one that comes in between wakes the loop again.
+        // The flags are read after the bytes: a signal that arrives in between wakes the loop again.
         let _ = self.signal.read(&mut [0; 16]);
         let _ = self.net.poll.rearm(&self.signal, SIGNAL_KEY, true, false);
         if self.signal_flags.reload.swap(false, Ordering::SeqCst) {
@@ -44,12 +44,13 @@
         }
     }
 
-    /// Reads the configuration again, whole or not at all, and moves the watch to where it says.
+    /// Reloads the configuration, entirely or not at all, and moves the watch to the configured discovery
+    /// address.
     pub(super) fn reload(&mut self, now: Time) {
         let config = match Config::reread() {
             Ok(config) => config,
             Err(error) => {
-                tracing::warn!("not reloaded: {error}");
+                tracing::warn!("reload: the configuration stays unchanged: {error}");
                 return;
             }
         };
@@ -67,7 +68,7 @@
         if address == watch.address() {
             return;
         }
-        tracing::info!("reload: discovery is now at {address}, {} open", self.core.open_queries());
+        tracing::info!("reload: discovery is now at {address}, {} open queries", self.core.open_queries());
         if let Some(store) = &mut self.store {
             store.set_discovery(address);
         }
@@ -82,15 +83,15 @@
             return;
         }
         self.operations.set_stopping();
-        tracing::info!("stopping, {} open", self.core.open_queries());
+        tracing::info!("stopping, {} open queries", self.core.open_queries());
         self.core.add_note("stopping");
-        let (listens, serves) = (self.lifecycle.listen_until, self.lifecycle.keep_idle_until);
-        self.net.timers.arm(listens, TimerEvent::StopListening);
-        self.net.timers.arm(serves.max(listens), TimerEvent::StopServing);
+        let (listen_until, keep_idle_until) = (self.lifecycle.listen_until, self.lifecycle.keep_idle_until);
+        self.net.timers.arm(listen_until, TimerEvent::StopListening);
+        self.net.timers.arm(keep_idle_until.max(listen_until), TimerEvent::StopServing);
         self.net.timers.arm(self.lifecycle.shutdown_deadline, TimerEvent::ShutdownDeadline);
     }
 
-    /// The broker has no more time: what is open gets its answer now.
+    /// Fails the open queries because the shutdown deadline has passed.
     pub(super) fn fail_open_queries(&mut self, now: Time) {
         for command in self.core.fail_open_queries() {
             self.execute(now, command);
--- a/src/broker/upgrade.rs
+++ b/src/broker/upgrade.rs
@@ -1,4 +1,4 @@
-//! What the broker does in a hand-over, as predecessor and as successor.
+//! The broker's part in a hand-over between processes, as predecessor and as successor.
 
 use std::io;
 use std::os::fd::{AsFd, BorrowedFd};
@@ -15,7 +15,7 @@
 use crate::upgrade::PredecessorUpdate;
 
 impl Broker {
-    /// The channel to the successor is ready.
+    /// Handles a message from the successor, or the end of its channel.
     pub(super) fn successor_ready(&mut self, now: Time) {
         let stopping = self.lifecycle.is_stopping();
         let Some(upgrade) = &mut self.upgrade else { return };
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Gives the listening sockets to the successor, and goes on to accept.
+    /// Sends the listening sockets to the successor, and keeps accepting until it is ready.
     fn offer_sockets(&mut self, now: Time) {
         let limits = self.joint_limits(self.clients.len());
         self.snapshot_taken_at = now;
@@ -48,15 +48,15 @@
         let offer = Offer { roles, clients: self.clients.len(), snapshot, list };
         upgrade.send_offer(&self.net, offer, &sockets);
         self.max_clients = self.max_clients.min(limits.predecessor);
-        tracing::info!("upgrade: a new process has the listening sockets and gets ready");
+        tracing::info!("upgrade: a new process has the listening sockets and is starting");
     }
 
-    /// How many clients this process and another one beside it may hold.
+    /// How many clients this process and a second one may each have connected.
     fn joint_limits(&self, predecessor_clients: usize) -> ClientLimits {
         joint_client_limits(self.config.bounds.sockets, self.fixed_descriptors, predecessor_clients)
     }
 
-    /// The successor takes the clients from now on. The sockets are kept, in case that it fails.
+    /// Stops accepting because the successor accepts now. The sockets are kept in case the successor fails.
     fn stop_accepting(&mut self, now: Time) {
         for (key, listener) in self.listeners.drain(..) {
             self.net.poll.remove(&listener);
@@ -65,7 +65,7 @@
         if let Some(peers) = &self.peers {
             self.net.poll.remove(&peers.socket);
         }
-        // Cold servers fall under the sum of both processes, and the budget of further attempts is one.
+        // Both processes share one retry budget and one limit on attempts at cold servers.
         self.core.suspend_budgets();
         let spending = self.core.spending(now, self.snapshot_taken_at);
         if let Some(upgrade) = &mut self.upgrade {
@@ -73,16 +73,19 @@
             upgrade.send_spending(&self.net, serde_json::to_string(&spending).unwrap_or_default());
         }
         self.lifecycle.set_handed_over(true);
-        tracing::info!("upgrade: the new process takes clients, {} are left here", self.clients.len());
+        tracing::info!(
+            "upgrade: the new process takes clients, {} remain connected here",
+            self.clients.len()
+        );
     }
 
-    /// The successor has ended before it was ready: this process has accepted all along, and shares no limit any more.
+    /// Restores the full client limit after the successor ended before it was ready. Accepting never stopped.
     fn restore_client_limit(&mut self) {
         self.max_clients = self.max_clients_standalone;
-        tracing::warn!("upgrade: the new process has ended before it was ready, this one serves on");
+        tracing::warn!("upgrade: the new process has ended before it was ready, this one continues to serve");
     }
 
-    /// The successor has ended, and this process goes on in its place.
+    /// Accepts clients again because the successor has ended.
     fn resume_accepting(&mut self, now: Time) {
         self.core.limit_budget_suspension(now);
         for (key, listener) in self.released.drain(..) {
@@ -98,10 +101,11 @@
         }
         self.lifecycle.set_handed_over(false);
         self.max_clients = self.max_clients_standalone;
-        tracing::warn!("upgrade: the new process has ended, clients are taken here again");
+        tracing::warn!("upgrade: the new process has ended, this one accepts clients again");
     }
 
-    /// The channel to the predecessor is ready: it says what it has spent, and then nothing more but its end.
+    /// Handles the predecessor's channel: it sends what it has spent of the budgets, then nothing until it
+    /// ends.
     pub(super) fn predecessor_ready(&mut self, now: Time) {
         let Some(upgrade) = &mut self.upgrade else { return };
         match upgrade.predecessor_ready(&self.net) {
@@ -116,7 +120,8 @@
         }
     }
 
-    /// Opens the store that the predecessor has closed, and notes the list in it: what is stored is no newer.
+    /// Opens the store after the predecessor has closed it, and records the current list, which is at least
+    /// as new as the stored one.
     fn take_over_store(&mut self) {
         if self.store.is_some() {
             return;
@@ -124,25 +129,28 @@
         let mut known = self.watch.as_ref().map(Watch::listing);
         match StateStore::open(&self.config, self.net.clock, &mut known) {
             Ok(store) => self.store = store,
-            Err(error) => tracing::warn!("upgrade: {error}: nothing is stored until the next start"),
+            Err(error) => {
+                tracing::warn!("upgrade: {error}; the server list is not stored until the next start")
+            }
         }
         if let (Some(store), Some(watch)) = (&mut self.store, &self.watch) {
             store.record_list(&watch.listing());
         }
     }
 
-    /// Spends from now on what both processes may spend together.
+    /// Applies the budgets that both processes share from now on.
     fn take_over_budgets(&mut self, now: Time, spending: &str) {
-        let read = serde_json::from_str(spending).map_err(|error| error.to_string());
-        let taken =
-            read.and_then(|read| self.core.take_over_budgets(now, &read).map_err(|error| error.to_string()));
-        if let Err(error) = taken {
-            tracing::warn!("upgrade: what the old process has spent can't be read: {error}");
+        let decoded = serde_json::from_str(spending).map_err(|error| error.to_string());
+        let applied = decoded.and_then(|decoded| {
+            self.core.take_over_budgets(now, &decoded).map_err(|error| error.to_string())
+        });
+        if let Err(error) = applied {
+            tracing::warn!("upgrade: the old process's budget spending can't be read: {error}");
             self.core.limit_budget_suspension(now);
         }
     }
 
-    /// Goes on from where the predecessor is, within what it leaves of the limits.
+    /// Continues from the predecessor's state, within the client limit that it leaves.
     pub(super) fn take_over(&mut self, now: Time, offer: &Offer) {
         let limits = self.joint_limits(offer.clients);
         self.max_clients = self.max_clients.min(limits.successor);
@@ -151,20 +159,24 @@
         self.core.suspend_budgets();
     }
 
-    /// Takes what the predecessor's module has learned, where it can be read.
+    /// Restores the router state learned by the predecessor, if it can be read.
     fn restore(&mut self, now: Time, snapshot: Option<&str>) {
         let Some(snapshot) = snapshot else { return };
-        let read = serde_json::from_str(snapshot).map_err(|error| error.to_string());
-        let restored = read.and_then(|read| self.core.restore(now, &read).map_err(|error| error.to_string()));
+        let decoded = serde_json::from_str(snapshot).map_err(|error| error.to_string());
+        let restored =
+            decoded.and_then(|decoded| self.core.restore(now, &decoded).map_err(|error| error.to_string()));
         match restored {
-            Ok(()) => tracing::info!("upgrade: goes on with what the old process has learned"),
-            Err(error) => tracing::warn!("upgrade: starts with nothing learned: {error}"),
+            Ok(()) => tracing::info!("upgrade: restored the router state of the old process"),
+            Err(error) => {
+                tracing::warn!("upgrade: the router state of the old process is not restored: {error}")
+            }
         }
     }
 }
 
-/// The list that a process starts with: its own, or its predecessor's where that is no older. Discovery may be away when
-/// the process starts, and its own list of old may call a server sound that the predecessor was told to drain.
+/// The server list a process starts with: its own last known list, or the predecessor's if that is at least
+/// as new. Discovery may be unreachable at the start, and the process's own list may show a server as up that
+/// the predecessor knows to be draining.
 pub(super) fn newer_list(known: Option<Listing>, offer: Option<&Offer>, clock: &Clock) -> Option<Listing> {
     let Some(list) = offer.and_then(|offer| offer.list.as_deref()) else { return known };
     let value = serde_json::from_str::<Value>(list).map_err(|error| error.to_string());
@@ -178,8 +190,8 @@
     }
 }
 
-/// Opens the store, if there is to be one. A process that takes over finds it open still by its predecessor: it needs
-/// nothing of it, as it has the predecessor's list, and opens it when that one has ended.
+/// Opens the store if one is configured. While a predecessor still has it open, the successor starts without
+/// it: it uses the predecessor's list, and opens the store once the predecessor has ended.
 pub(super) fn open_store(
     config: &Config,
     clock: Clock,
@@ -188,14 +200,14 @@
 ) -> io::Result<Option<StateStore>> {
     match StateStore::open(config, clock, known) {
         Err(error) if is_successor && error.kind() == io::ErrorKind::AddrInUse => {
-            tracing::info!("upgrade: the store is the old process's until that has ended");
+            tracing::info!("upgrade: the store stays with the old process until it ends");
             Ok(None)
         }
         opened => opened,
     }
 }
 
-/// What a listener is for, by its key.
+/// The hand-over role of a listener, by its poller key.
 pub(super) fn role_of(key: usize) -> SocketRole {
     if key == OGC_LISTENER_KEY { SocketRole::OgcClients } else { SocketRole::Clients }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! A broker for sharded queries on real sockets: fronts, sources, connections, and the loop that drives the
-//! core of [`badgergauge_core`], where every decision is made.
+//! A broker for sharded queries: front ends, server lists, connections, and the event loop that drives the
+//! core in [`badgergauge_core`], which makes every decision.
 #![deny(unsafe_code)]
 
 pub mod backend;
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,59 +1,61 @@
-//! The life of the process, from its start over drains to its end: the one place where its phases change. No I/O, and
-//! no clock but what it is given.
+//! The lifecycle of the process from start through drains to shutdown: the only place where its phase
+//! changes. It does no I/O, and time is passed in.
 
 use std::time::Duration;
 
 use crate::interface::{Class, Time};
 
-/// After SIGTERM clients still come for a while; so long they are listened to.
+/// How long new connections are accepted after SIGTERM, as clients keep connecting for a while.
 const STOP_LISTEN_DELAY: Duration = Duration::from_millis(500);
-/// A client whose connection was just taken has so long to send its first request.
+/// How long a newly accepted client has to send its first request before shutdown closes its connection.
 const FIRST_REQUEST_TIME: Duration = Duration::from_millis(500);
-/// After SIGTERM a broker may go on for the longest deadline, or this, and `STOP_LISTEN_DELAY` more.
+/// Upper limit of the longest class deadline as used for shutdown. A broker may run for that deadline plus
+/// `STOP_LISTEN_DELAY` after SIGTERM.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
-/// Queries that are taken until the last have so many of the longest aim left until then.
+/// Queries that are accepted last have this many times the longest aim left before the shutdown deadline.
 const SHUTDOWN_AIMS: u32 = 2;
-/// Once nothing is owed, clients that have met the end of their connections have so long to end them too: a process
-/// that ends over bytes that it has not read resets them.
+/// How long clients have to close their connections once no response is outstanding. If the process exits
+/// with unread input, the kernel resets the connections.
 const LINGER_TIME: Duration = Duration::from_millis(200);
-/// In a drain connections may rest for so long, as most of them carry one more request and end with its answer. Clients
-/// have left 2 s after that.
+/// How long connections may stay idle in a drain: most carry one more request in this time and are closed
+/// with its response. All clients have left 2 s later.
 const DRAIN_IDLE_TIME: Duration = Duration::from_secs(1);
 
-/// Where the process stands.
+/// The phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Clients may not come yet: the first list is waited for.
+    /// Not accepting clients yet: waiting for the first server list.
     Starting,
-    /// It serves.
+    /// Serving.
     Serving,
-    /// Operators have drained it: it serves those that come, and asks all to leave. Nothing of it ends.
+    /// Drained by operators: it still serves requests but closes each connection with its response. The
+    /// process does not end.
     Drained,
-    /// It was told to end, and goes on on the connections there are. Clients that still have one use it while it is
-    /// open, and whoever restarts brokers in turn may stop this one before the last is back: closing them early would
-    /// leave them without any.
+    /// Told to stop, and still serving on the open connections. Clients may have no other broker: in a
+    /// rolling restart this one may be stopped before the previous one is back, so connections are not closed
+    /// early.
     Stopping,
-    /// It was told to end, each answer ends its connection, and in time those that rest are ended.
+    /// Told to stop: each response closes its connection, and idle connections are closed in time.
     Closing,
-    /// Nothing is owed any more: clients are left to end their connections.
+    /// No response is outstanding: waits for clients to close their connections.
     Lingering,
-    /// It ends.
+    /// The process may exit.
     Ended,
 }
 
-/// The process's phase, with the times at which it changes.
+/// The phase of the process and the times at which it changes. A time that is not set is `u64::MAX`.
 #[derive(Clone, Copy, Debug)]
 pub struct Lifecycle {
     phase: Phase,
-    /// Whether a successor has its listeners.
+    /// Whether a successor has the listeners.
     handed_over: bool,
-    /// From then on connections that rest are ended, while it is drained.
+    /// In a drain, idle connections are closed from this time on.
     pub drain_idle_until: Time,
-    /// Until then new connections are taken, once it was told to end.
+    /// After the stop, new connections are accepted until this time.
     pub listen_until: Time,
-    /// Until then connections may rest, once it was told to end.
+    /// After the stop, idle connections are kept open until this time.
     pub keep_idle_until: Time,
-    /// By then all is answered.
+    /// After the stop, every response is sent by this time.
     pub shutdown_deadline: Time,
     linger_until: Time,
 }
@@ -74,17 +76,18 @@
 }
 
 impl Lifecycle {
-    /// Where the process stands.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether new clients are welcome.
+    /// Whether new clients are accepted and served normally.
     pub fn is_serving(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Whether clients are to come to this broker, be it to this process or to its successor on the same listeners.
+    /// Whether clients should use this broker, through this process or through its successor on the same
+    /// listeners.
     pub fn is_available(&self) -> bool {
         self.is_serving() || (self.handed_over && !self.is_drained())
     }
@@ -94,24 +97,24 @@
         self.phase == Phase::Drained
     }
 
-    /// Whether it was told to end.
+    /// Whether the process was told to stop.
     pub fn is_stopping(&self) -> bool {
         !matches!(self.phase, Phase::Starting | Phase::Serving | Phase::Drained)
     }
 
-    /// Whether the connections there are will end, as their next answer says.
+    /// Whether open connections are closed with their next response.
     pub fn is_closing(&self) -> bool {
         !matches!(self.phase, Phase::Starting | Phase::Serving | Phase::Stopping)
     }
 
-    /// Clients may come.
+    /// Ends the start phase: clients are accepted from now on.
     pub fn started(&mut self) {
         if self.phase == Phase::Starting {
             self.phase = Phase::Serving;
         }
     }
 
-    /// Operators drain it. Gives whether that changes anything: only one that serves can be drained.
+    /// Starts a drain. Returns whether that changed the phase: only a serving process can be drained.
     pub fn drain(&mut self, now: Time) -> bool {
         if self.phase != Phase::Serving {
             return false;
@@ -121,7 +124,7 @@
         true
     }
 
-    /// Operators end the drain. Gives whether that changes anything.
+    /// Ends a drain. Returns whether that changed the phase.
     pub fn resume(&mut self) -> bool {
         if self.phase != Phase::Drained {
             return false;
@@ -131,18 +134,19 @@
         true
     }
 
-    /// How long a connection may rest from now on, where a drain says so.
+    /// How long connections may still stay idle, if a drain is active.
     pub fn drain_idle_left(&self, now: Time) -> Option<Duration> {
         (self.phase == Phase::Drained).then(|| self.drain_idle_until.since(now))
     }
 
-    /// Whether a successor takes clients on the same listeners: then this process's clients have somewhere to go.
+    /// Sets whether a successor accepts clients on the same listeners. If so, the clients of this process can
+    /// reconnect there.
     pub fn set_handed_over(&mut self, handed_over: bool) {
         self.handed_over = handed_over;
     }
 
-    /// SIGTERM has come. Gives whether it says anything new: a second one does not, and one that comes before clients
-    /// may is the end.
+    /// Handles SIGTERM. Returns whether it had an effect: a second one has none. One that comes before
+    /// clients are accepted ends the process at once.
     pub fn stop(&mut self, now: Time, classes: &[Class]) -> bool {
         match self.phase {
             Phase::Starting => self.phase = Phase::Ended,
@@ -150,11 +154,12 @@
                 let deadline = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
                 let aim = classes.iter().map(|class| class.aim).max().unwrap_or_default();
                 let total = deadline.min(MAX_SHUTDOWN_DEADLINE) + STOP_LISTEN_DELAY;
-                // Where that leaves no time, each answer says from now on that its connection ends.
+                // If that leaves no time, each response from now on closes its connection.
                 let keep_idle = total.saturating_sub(aim.saturating_mul(SHUTDOWN_AIMS));
                 let has_time = keep_idle > STOP_LISTEN_DELAY && !self.is_drained();
                 let listen = if self.handed_over { Duration::ZERO } else { STOP_LISTEN_DELAY };
-                // Ended with the listening, the connections that were taken last would end before their first request.
+                // If idle connections were closed together with the listeners, those accepted last would be
+                // closed before their first request.
                 let min_keep_idle = (listen + FIRST_REQUEST_TIME).min(total);
                 let keep_idle = if has_time { keep_idle.max(min_keep_idle) } else { min_keep_idle };
                 self.listen_until = now.after(listen);
@@ -169,7 +174,7 @@
         true
     }
 
-    /// Time has gone on.
+    /// Applies the phase changes that are due at `now`.
     pub fn advance(&mut self, now: Time) {
         if self.phase == Phase::Stopping && now >= self.keep_idle_until {
             self.phase = Phase::Closing;
@@ -179,8 +184,9 @@
         }
     }
 
-    /// What is left: whether anything is owed, and whether any client has a connection. Only what was told to end and
-    /// listens no more may be done.
+    /// Ends a phase if nothing is left to do in it. `listening` says whether listeners are open,
+    /// `responses_pending` whether a response is outstanding, and `clients_connected` whether any client is
+    /// connected. A process only ends after it was told to stop and its listeners are closed.
     pub fn check_completion(
         &mut self,
         now: Time,
@@ -201,7 +207,7 @@
         }
     }
 
-    /// When it is to be looked at again, at the latest.
+    /// When the next timed phase change is due, if one is pending.
     pub fn next_transition(&self) -> Option<Time> {
         (self.phase == Phase::Lingering).then_some(self.linger_until)
     }
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -3,13 +3,13 @@
 
 fn classes(aim_ms: u64, deadline_ms: u64) -> Vec<Class> {
     let [aim, deadline] = [aim_ms, deadline_ms].map(Duration::from_millis);
-    let (worth, late_share, effect, need) = (1.0, 0.0, RetrySafety::Safe, 1.0);
+    let (worth, late_share, retry_safety, need) = (1.0, 0.0, RetrySafety::Safe, 1.0);
     vec![Class {
         aim,
         deadline,
         worth,
         late_share,
-        retry_safety: effect,
+        retry_safety,
         need,
         floor: 1.0,
         partial_worth: 0.0,
@@ -28,10 +28,10 @@
     lifecycle
 }
 
-// Guards clients of a broker that is killed 0.7 s after the longest deadline, or after 3.7 s: whatever the settings,
-// all is answered and clients have met the end of their connections before that.
+// Guards against a broker that is killed while it owes responses, 0.7 s after the longest deadline or after
+// 3.7 s. Whatever the settings, all responses are sent and all connections closed before that.
 #[test]
-fn all_is_answered_before_the_process_may_be_killed() {
+fn all_responses_are_sent_before_the_process_may_be_killed() {
     for (aim, deadline) in [(500, 3000), (2000, 6000), (100, 400), (1000, 1000), (30_000, 60_000)] {
         let mut lifecycle = stopped(aim, deadline);
         let killed = at(deadline.min(3000) + 700);
@@ -41,7 +41,7 @@
         assert!(lifecycle.listen_until <= at(500));
         lifecycle.advance(lifecycle.keep_idle_until);
         assert_eq!(lifecycle.phase(), Phase::Closing, "{aim} {deadline}");
-        // What ends at the last moment lingers no longer than the process has.
+        // A connection closed at the last moment lingers no longer than the shutdown deadline.
         lifecycle.check_completion(lifecycle.shutdown_deadline, false, false, true);
         let due = lifecycle.next_transition().expect("it lingers");
         assert!(due <= lifecycle.shutdown_deadline, "{due:?}");
@@ -50,9 +50,10 @@
     }
 }
 
-// SIGTERM twice says nothing new, before clients may come it is the end, and a start that is told late stays one.
+// A second SIGTERM has no effect; one during the start ends the process, and a late end of the start changes
+// nothing.
 #[test]
-fn sigterm_is_heeded_once_and_before_the_start_is_the_end() {
+fn sigterm_acts_once_and_ends_a_process_that_is_still_starting() {
     let mut early = Lifecycle::default();
     assert!(early.stop(at(0), &classes(500, 3000)));
     assert_eq!(early.phase(), Phase::Ended);
@@ -64,10 +65,10 @@
     assert_eq!((twice.keep_idle_until, twice.shutdown_deadline), before);
 }
 
-// Nothing ends while it is owed, nor while new connections are taken; where time is left it goes on serving, and ends
-// early only if all clients have left.
+// The process must not end while a response is outstanding or new connections are accepted. If time is left
+// it keeps serving, and it ends early only if all clients have left.
 #[test]
-fn it_ends_once_nothing_is_owed_and_not_before() {
+fn the_process_ends_once_nothing_is_pending_and_not_before() {
     let mut lifecycle = stopped(500, 3000);
     for (listening, responses_pending, clients_connected) in
         [(true, false, false), (false, true, true), (false, false, true)]
@@ -88,17 +89,22 @@
     assert_eq!(lifecycle.phase(), Phase::Ended);
 }
 
-// A drain asks clients to leave and takes nothing away; it and its end may come twice, or in quick turns.
+// A drain lets clients leave without ending the process; starting and ending it are idempotent, also in quick
+// turns.
 #[test]
 fn a_drain_and_its_end_are_idempotent() {
     let mut lifecycle = Lifecycle::default();
-    assert!(!lifecycle.drain(at(0)) && !lifecycle.resume(), "clients may not come yet");
+    assert!(!lifecycle.drain(at(0)) && !lifecycle.resume(), "clients are not accepted yet");
     lifecycle.started();
     assert!(!lifecycle.resume());
     for turn in 0..3 {
         let now = at(turn * 10);
         assert!(lifecycle.drain(now) && !lifecycle.drain(now.after(Duration::from_millis(5))));
-        assert_eq!(lifecycle.drain_idle_until, now.after(DRAIN_IDLE_TIME), "a second call puts nothing off");
+        assert_eq!(
+            lifecycle.drain_idle_until,
+            now.after(DRAIN_IDLE_TIME),
+            "a second call does not postpone it"
+        );
         assert!(lifecycle.is_closing() && !lifecycle.is_serving() && !lifecycle.is_stopping());
         lifecycle.check_completion(now, false, false, false);
         assert_eq!(lifecycle.phase(), Phase::Drained, "a drained process does not end");
@@ -107,10 +113,10 @@
     }
 }
 
-// SIGTERM in a drain: clients were asked to leave, so nothing waits for them but the last that come. No drain begins or
-// ends after it.
+// SIGTERM during a drain: clients were already told to leave, so only the last accepted connections are
+// waited for. No drain starts or ends after SIGTERM.
 #[test]
-fn sigterm_crosses_a_drain() {
+fn sigterm_during_a_drain_ends_the_process() {
     let mut lifecycle = Lifecycle::default();
     lifecycle.started();
     lifecycle.drain(at(0));
@@ -118,15 +124,15 @@
     assert_eq!((lifecycle.phase(), lifecycle.listen_until), (Phase::Closing, at(600)));
     assert!(!lifecycle.resume() && !lifecycle.drain(at(200)));
     lifecycle.check_completion(at(1099), false, false, true);
-    assert_eq!(lifecycle.phase(), Phase::Closing, "the last that came may still ask");
+    assert_eq!(lifecycle.phase(), Phase::Closing, "the clients accepted last may still send a request");
     lifecycle.check_completion(at(1100), false, false, true);
     assert_eq!(lifecycle.phase(), Phase::Lingering);
 }
 
-// A client that was taken as the listening ended may send its first request, also where aims leave no time to serve on;
-// where deadlines leave no more than that, it has what there is.
+// Guards clients accepted just before listening stops: they get time for a first request, even if aims leave
+// no time to keep serving. Short deadlines limit that time.
 #[test]
-fn a_first_request_has_time_to_come_after_the_end_of_listening() {
+fn a_first_request_may_arrive_after_listening_has_ended() {
     for (deadline, until) in [(3000, 1000), (400, 900)] {
         let mut lifecycle = stopped(5000, deadline);
         assert_eq!((lifecycle.phase(), lifecycle.listen_until), (Phase::Closing, at(500)));
@@ -137,10 +143,10 @@
     }
 }
 
-// A process whose successor has its listeners asks its clients to leave with each answer, and lets those that rest do so
-// as long as it has time for what they may still send.
+// After a hand-over each response closes its connection, and idle connections are kept open as long as there
+// is time to answer what they may still send.
 #[test]
-fn after_a_hand_over_connections_end_with_their_answers() {
+fn after_a_hand_over_responses_close_their_connections() {
     let mut lifecycle = Lifecycle::default();
     lifecycle.started();
     lifecycle.set_handed_over(true);
@@ -149,15 +155,15 @@
     assert_eq!((lifecycle.phase(), lifecycle.listen_until), (Phase::Closing, at(0)));
     assert!(lifecycle.is_available() && !lifecycle.is_serving(), "the broker is up, in another process");
     lifecycle.check_completion(at(10), false, false, true);
-    assert_eq!(lifecycle.phase(), Phase::Closing, "clients that rest have time");
+    assert_eq!(lifecycle.phase(), Phase::Closing, "idle clients have time");
     lifecycle.check_completion(lifecycle.keep_idle_until, false, false, true);
     assert_eq!(lifecycle.phase(), Phase::Lingering);
 }
 
-// A client that was accepted just before the hand-over may send its first request after SIGTERM, also where aims leave
-// no time for more.
+// A client accepted just before the hand-over may send its first request after SIGTERM, even if aims leave no
+// more time.
 #[test]
-fn after_a_hand_over_a_first_request_has_time_to_come() {
+fn after_a_hand_over_a_first_request_may_still_arrive() {
     let mut lifecycle = Lifecycle::default();
     lifecycle.started();
     lifecycle.set_handed_over(true);
@@ -169,10 +175,10 @@
     assert_eq!(lifecycle.phase(), Phase::Lingering);
 }
 
-// Whoever asks an old process over a connection that it keeps asks after the broker, which is up as long as one of its
-// processes takes clients.
+// A readiness request that reaches the old process over a kept connection is about the broker, which is
+// available as long as one of its processes accepts clients.
 #[test]
-fn a_broker_is_available_while_any_of_its_processes_takes_clients() {
+fn a_broker_is_available_while_any_of_its_processes_accepts_clients() {
     let mut lifecycle = Lifecycle::default();
     assert!(!lifecycle.is_available());
     lifecycle.started();
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,7 +1,7 @@
-//! The log on standard error: lines of text as they always were, or JSON objects.
+//! The log on standard error, as lines of text or JSON objects.
 //!
-//! A thread of its own writes it. The loop never waits for whoever reads: when the reader is so far behind
-//! that the lines held reach their bound, further ones are dropped, and how many is said once it reads again.
+//! A separate thread writes it, so the event loop never waits for the reader. When `MAX_QUEUED_LINES` lines
+//! are queued, further ones are dropped and counted.
 
 use std::fmt::{self, Write};
 use std::io;
@@ -15,27 +15,27 @@
 
 use crate::config::service::Log;
 
-/// Lines that may wait for the reader.
+/// Lines that may be queued for writing.
 const MAX_QUEUED_LINES: usize = 1024;
 
-/// Keeps the log going; what waits is written when it is dropped, as far as the reader takes it.
+/// Keeps the log thread running. When dropped, queued lines are written as far as the reader accepts them.
 pub struct Guard {
     _worker: WorkerGuard,
     dropped: ErrorCounter,
 }
 
 impl Guard {
-    /// Lines that were dropped so far.
+    /// The number of lines dropped so far.
     pub fn dropped_lines(&self) -> usize {
         self.dropped.dropped_lines()
     }
 }
 
-/// Sends the log of this process to standard error from now on.
+/// Writes the log of this process to standard error from now on.
 ///
 /// # Errors
 ///
-/// When it goes somewhere already.
+/// Returns an error if a log is already set up.
 pub fn start(log: Log) -> Result<Guard, String> {
     let (writer, guard) = writer(io::stderr());
     let started = if log.json {
@@ -58,7 +58,7 @@
     (writer, Guard { _worker: worker, dropped })
 }
 
-/// `badgergauge: text field=value`, with the level before the text where it is not the usual one.
+/// `badgergauge: message field=value`, with the level before the message unless it is INFO.
 struct PlainFormat;
 
 impl<S, N> FormatEvent<S, N> for PlainFormat
@@ -80,7 +80,7 @@
     }
 }
 
-/// An event's message and its fields. Line ends in them are written as escapes: an event is one line.
+/// An event's message and its fields. Line breaks are escaped, as an event is one line.
 #[derive(Default)]
 struct EventText {
     message: String,
@@ -94,7 +94,7 @@
 
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         let text = format!("{value:?}").replace('\n', "\\n").replace('\r', "\\r");
-        // Writing to a text can't fail.
+        // Writing to a string can't fail.
         let _ = match field.name() {
             "message" => write!(self.message, "{text}"),
             name => write!(self.fields, " {name}={text}"),
@@ -108,7 +108,7 @@
 
     use super::*;
 
-    /// A reader that takes nothing until it is let, as a full pipe does.
+    /// A writer that blocks until it is released, as a full pipe does.
     struct BlockedReader {
         blocked: Receiver<()>,
         written: Sender<String>,
@@ -126,10 +126,11 @@
         }
     }
 
-    // Guards the loop against a log that nobody reads: it goes on, what does not fit is counted, and the
-    // lines keep their form. The calls below would never return if the writer were waited for.
+    // Guards the event loop against a log that nobody reads: the loop continues, lines that do not fit are
+    // counted, and the format stays the same. The calls below would never return if they waited for the
+    // writer.
     #[test]
-    fn a_log_that_nobody_reads_stops_nobody() {
+    fn an_unread_log_does_not_block_the_process() {
         let ((open, blocked), (written, lines)) = (channel(), channel());
         let (writer, guard) = writer(BlockedReader { blocked, written });
         let subscriber = tracing_subscriber::fmt().event_format(PlainFormat).with_writer(writer).finish();
@@ -139,7 +140,7 @@
                 tracing::info!("line {line}");
             }
         });
-        // One line may be with the thread already, or none.
+        // The writer thread may have taken one line from the queue already.
         assert!(
             (MAX_QUEUED_LINES..=MAX_QUEUED_LINES + 1).contains(&guard.dropped_lines()),
             "{}",
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,4 +1,4 @@
-//! The recorder beside the loop: what each step was about goes to the trace's thread, or is dropped.
+//! Trace recording: a record of each step is passed to the trace thread, or dropped if its queue is full.
 
 use std::io;
 
@@ -13,10 +13,11 @@
 use crate::interface::Time;
 use crate::net::clock::Clock;
 
-/// The recorder of a broker.
+/// The trace recorder of a broker.
 pub struct TraceRecorder {
     recorder: Recorder,
     settings: Trace,
+    /// The sequence number of the last step.
     last_sequence: u64,
 }
 
@@ -25,11 +26,11 @@
 }
 
 impl TraceRecorder {
-    /// Starts to record where the operator's file says so.
+    /// Starts recording if the service file configures a trace.
     ///
     /// # Errors
     ///
-    /// When the folder can't be used.
+    /// Returns an error if the trace directory can't be used.
     pub fn start(config: &Config, clock: &Clock, core: &mut Core) -> io::Result<Option<Self>> {
         let Some(trace) = config.service.trace.clone() else { return Ok(None) };
         let trace_dir_error = |error: io::Error| {
@@ -57,7 +58,7 @@
         Ok(Some(TraceRecorder { recorder, settings: trace, last_sequence: 0 }))
     }
 
-    /// Hands over what the core's last step was about.
+    /// Queues the record of the core's last step.
     pub fn record_step(&mut self, core: &mut Core) {
         let Some(step) = core.take_step_record() else { return };
         let (record, names) = from_step_record(step);
@@ -65,8 +66,8 @@
         self.recorder.offer(record, names);
     }
 
-    /// Goes on with a new file, and with other bounds where they differ. What else differs waits for the next
-    /// start, and is named.
+    /// Starts a new file and applies changed limits. Returns the name of the section if other settings
+    /// differ: those take effect at the next start.
     pub fn reload(&mut self, trace: Option<&Trace>) -> Option<&'static str> {
         let (changed, limits) = match trace {
             None => (true, None),
@@ -81,12 +82,12 @@
         if self.recorder.rotate(limits) {
             tracing::info!("trace: a new file begins with the next step");
         } else {
-            tracing::warn!("trace: the queue is full, no new file is begun");
+            tracing::warn!("trace: the queue is full, no new file was started");
         }
         changed.then_some("trace")
     }
 
-    /// Writes what was handed over, and that the broker ends.
+    /// Writes the queued records and a final note that the broker has ended.
     pub fn close(mut self, now: Time) {
         let record = Record {
             sequence: self.last_sequence + 1,
@@ -96,7 +97,7 @@
         };
         self.recorder.offer(record, Vec::new());
         if !self.recorder.close() {
-            tracing::warn!("trace: the disk did not take the last steps in time");
+            tracing::warn!("trace: the last steps were not written to disk in time");
         }
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! The store beside the broker, where the operator's file switches it on: what of it is believed at the start, and
-//! each list noted as it comes. What is believed is decided in [`badgergauge_store::reconcile`].
+//! The broker's store of the server list, if configured: what of it is used at the start, and how each new
+//! list is recorded. [`badgergauge_store::reconcile`] decides what is used.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
@@ -18,19 +18,22 @@
 use crate::interface::ServerState;
 use crate::net::clock::Clock;
 
-/// Whatever discovery has to tell counts as told so much later at the latest, says the protocol: an `up` that was
-/// noted longer ago may have been taken back since.
+/// How long a stored `up` is valid. By discovery's protocol every change is deemed delivered after this time,
+/// so an `up` recorded earlier may have been revoked since.
 const UP_VALIDITY: Duration = Duration::from_secs(6);
-/// Servers that are gone are kept, as a list of old may still have them: as many as there are in the list, and so
-/// many at the least. The oldest go first.
+/// Removed servers are kept, as an older list may still contain them: as many as there are servers in the
+/// list, and at least this many. The oldest are dropped first.
 const MIN_REMOVED_KEPT: usize = 64;
 
 /// The store of a running broker.
 pub struct StateStore {
     writer: Writer,
     clock: Clock,
+    /// The address of the discovery that lists come from.
     discovery: String,
+    /// Servers in the current list.
     listed: BTreeSet<String>,
+    /// Servers stored as removed, the oldest first.
     removed: VecDeque<String>,
 }
 
@@ -42,7 +45,8 @@
     }
 }
 
-/// Whose store a broker's is. The installation is told by what its list and its queries hang on.
+/// The owner of a broker's store. The site is identified by the settings that the list and the queries depend
+/// on.
 pub fn owner(config: &Config) -> Owner {
     let router = &config.settings.router;
     let site_text = format!(
@@ -52,16 +56,16 @@
     Owner { name: config.name.clone(), site: format!("{:08x}", checksum("site", site_text.as_bytes())) }
 }
 
-/// Unix time, in milliseconds.
+/// The current Unix time in milliseconds.
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// What a start with this list would believe of what was stored.
+/// Decides for each server whether a start with this list would use the stored record, and why.
 ///
 /// # Errors
 ///
-/// Says why nothing is believed.
+/// Returns the reason if nothing stored can be used.
 pub fn resolve_stored(
     clock: &Clock,
     discovery: &str,
@@ -75,10 +79,10 @@
     });
     let index = known.map_or(0, |list| list.index);
     reconcile(unix_ms(), UP_VALIDITY.as_millis() as u64, discovery, index, &listed.collect(), stored)
-        .map_err(|_| format!("it came from another discovery, {:?}", stored.discovery))
+        .map_err(|_| format!("they came from another discovery, {:?}", stored.discovery))
 }
 
-/// The list as it is believed.
+/// The start list with the stored records that were chosen.
 fn apply_resolutions(
     clock: &Clock,
     known: Option<Listing>,
@@ -87,7 +91,7 @@
 ) -> Listing {
     let known = known.unwrap_or(Listing { index: 0, whole: true, members: Vec::new() });
     let mut members: BTreeMap<String, (Member, Option<SocketAddr>)> =
-        known.members.into_iter().map(|line| (line.0.name.clone(), line)).collect();
+        known.members.into_iter().map(|entry| (entry.0.name.clone(), entry)).collect();
     for (name, resolution) in resolutions.iter().filter(|(_, resolution)| resolution.from_store) {
         let Some(server) = stored.servers.get(name) else { continue };
         let state = match resolution.status {
@@ -107,12 +111,12 @@
 }
 
 impl StateStore {
-    /// Opens the store, if there is to be one, and changes the list at the start to what is believed. A store that
-    /// can't be used is set aside, with a line that says why, and the broker starts as new.
+    /// Opens the store if one is configured, and merges the usable records into the start list. A store that
+    /// can't be used is set aside with a warning, and the broker starts with an empty one.
     ///
     /// # Errors
     ///
-    /// When another process has the store open, or none can be made.
+    /// Returns an error if another process has the store open, or a new one can't be created.
     pub fn open(config: &Config, clock: Clock, known: &mut Option<Listing>) -> io::Result<Option<Self>> {
         let (Some(path), Some(discovery)) = (&config.service.store, config.discovery) else {
             return Ok(None);
@@ -153,7 +157,7 @@
                 }
                 *known = Some(apply_resolutions(&clock, known.take(), &resolutions, &stored));
             }
-            Err(reason) => tracing::warn!("store: nothing of it is believed: {reason}"),
+            Err(reason) => tracing::warn!("store: the stored servers are not used: {reason}"),
         }
         for (name, server) in stored.servers {
             match server.status {
@@ -164,7 +168,7 @@
         Ok(Some(state_store))
     }
 
-    /// Notes a list of discovery's.
+    /// Records a list received from discovery.
     pub fn record_list(&mut self, list: &Listing) {
         let noted_ms = unix_ms();
         let mut changes = BTreeMap::new();
@@ -183,7 +187,8 @@
             changes.insert(member.name.clone(), Some(server));
         }
         if list.whole {
-            // A whole list tells by leaving out: whatever process an older list may name, it is not there.
+            // A full list removes a server by omission: the omitted server is gone, whichever process of it
+            // older lists name.
             for name in self.listed.difference(&present).cloned().collect::<Vec<_>>() {
                 let (zone, address) = (String::new(), None);
                 let server = ServerRecord {
@@ -205,7 +210,7 @@
         self.writer.enqueue(changes, Some((self.discovery.clone(), list.index)));
     }
 
-    /// From now on lists come from another discovery.
+    /// Sets the address of the discovery that later lists come from.
     pub fn set_discovery(&mut self, discovery: SocketAddr) {
         self.discovery = discovery.to_string();
     }
@@ -220,7 +225,7 @@
 fn log_opened(path: &Path, stored: &StoredState, opened: u64) {
     let newest = stored.servers.values().map(|server| server.noted_ms).max();
     let age = newest.map_or(String::new(), |at| {
-        format!(", noted {:.1} s ago at the latest", unix_ms().saturating_sub(at) as f64 / 1e3)
+        format!(", newest record {:.1} s old", unix_ms().saturating_sub(at) as f64 / 1e3)
     });
     let (servers, index) = (stored.servers.len(), stored.index);
     tracing::info!(
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -5,45 +5,46 @@
     (member, "127.0.0.1:9".parse().ok())
 }
 
-// Guards what a list of old is judged by: a server that a whole list leaves out is gone, as one that is said to
-// be, and of those that are gone a bounded number is kept, however many come and go.
+// Guards against stored records that resurrect removed servers or grow without bound: a server that a full
+// list omits is stored as removed like one that is listed so, and a bounded number of removed servers is
+// kept.
 #[test]
-fn servers_that_went_are_kept_as_gone_and_not_for_ever() {
+fn removed_servers_are_kept_up_to_a_limit() {
     let path = std::env::temp_dir().join(format!("badgergauge-state-{}", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let owner = Owner { name: "b0".into(), site: "s".into() };
-    let (store, _) = Store::open(&path, &owner).expect("opens");
+    let (store, _) = Store::open(&path, &owner).expect("the store opens");
     let mut state_store = StateStore {
-        writer: Writer::start(store, |error| panic!("{error}")).expect("starts"),
+        writer: Writer::start(store, |error| panic!("{error}")).expect("the writer starts"),
         clock: Clock::start(),
         discovery: "d".into(),
         listed: BTreeSet::new(),
         removed: VecDeque::new(),
     };
-    let whole = |index, members| Listing { index, whole: true, members };
-    state_store.record_list(&whole(1, vec![member("a", ServerState::Up), member("b", ServerState::Up)]));
-    state_store.record_list(&whole(2, vec![member("a", ServerState::Draining)]));
-    let changed = vec![member("c", ServerState::Up)];
-    state_store.record_list(&Listing { index: 3, whole: false, members: changed });
+    let full_list = |index, members| Listing { index, whole: true, members };
+    state_store.record_list(&full_list(1, vec![member("a", ServerState::Up), member("b", ServerState::Up)]));
+    state_store.record_list(&full_list(2, vec![member("a", ServerState::Draining)]));
+    let update = vec![member("c", ServerState::Up)];
+    state_store.record_list(&Listing { index: 3, whole: false, members: update });
     for n in 0..300 {
-        let gone = vec![member(&format!("x{n}"), ServerState::Up)];
-        state_store.record_list(&Listing { index: 4 + n, whole: false, members: gone });
-        let gone = vec![member(&format!("x{n}"), ServerState::Removed)];
-        state_store.record_list(&Listing { index: 4 + n, whole: false, members: gone });
+        let update = vec![member(&format!("x{n}"), ServerState::Up)];
+        state_store.record_list(&Listing { index: 4 + n, whole: false, members: update });
+        let update = vec![member(&format!("x{n}"), ServerState::Removed)];
+        state_store.record_list(&Listing { index: 4 + n, whole: false, members: update });
     }
     drop(state_store);
-    let (_, stored) = Store::open(&path, &owner).expect("opens");
+    let (_, stored) = Store::open(&path, &owner).expect("the store opens");
     let status = |name: &str| stored.servers.get(name).map(|server| server.status);
     assert_eq!(status("a"), Some(ServerStatus::Draining));
     assert_eq!((status("c"), status("x299")), (Some(ServerStatus::Up), Some(ServerStatus::Gone)));
-    assert_eq!((status("b"), status("x0")), (None, None), "the oldest went first");
+    assert_eq!((status("b"), status("x0")), (None, None), "the oldest are dropped first");
     assert_eq!(stored.servers.len(), 2 + MIN_REMOVED_KEPT);
-    std::fs::remove_file(&path).expect("there");
+    std::fs::remove_file(&path).expect("the store file exists");
 }
 
-// A list at the start is changed by what is believed, and by nothing else.
+// The start list is changed only by the records that were chosen.
 #[test]
-fn the_list_at_the_start_is_as_it_is_believed() {
+fn the_start_list_includes_the_chosen_records() {
     let clock = Clock::start();
     let known = Listing {
         index: 3,
--- a/src/upgrade.rs
+++ b/src/upgrade.rs
@@ -1,5 +1,5 @@
-//! The broker's end of a hand-over: as the successor of a running process at its start, and as the predecessor of a
-//! later one while it runs. What is decided is decided in [`badgergauge_handover`].
+//! The I/O of a hand-over: as the successor of a running process at start, and as the predecessor of a later
+//! one while running. The decisions are made by the state machines in [`badgergauge_handover`].
 
 use std::net::{IpAddr, SocketAddr, TcpListener, UdpSocket};
 use std::os::fd::{BorrowedFd, OwnedFd};
@@ -14,44 +14,46 @@
 };
 use crate::net::Net;
 
-/// The poller's key of the socket where a successor connects.
+/// The poller key of the socket on which successors connect.
 pub const RENDEZVOUS_KEY: usize = 5;
-/// The poller's key of the channel to the successor.
+/// The poller key of the channel to the successor.
 pub const SUCCESSOR_KEY: usize = 6;
-/// The poller's key of the channel to the predecessor.
+/// The poller key of the channel to the predecessor.
 pub const PREDECESSOR_KEY: usize = 7;
 
-/// How long a start waits for its predecessor's answer: the predecessor may be in the middle of a step.
+/// How long a start waits for the predecessor's answer: the predecessor may be in the middle of a step.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the predecessor's channel has brought.
+/// What was received on the predecessor's channel.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PredecessorUpdate {
-    /// Nothing.
+    /// Nothing that needs handling.
     None,
-    /// What the predecessor has spent of the limits that hold for both, as its module encodes it.
+    /// What the predecessor has spent of the shared budgets, as encoded by its router.
     Spending(String),
     /// The predecessor has ended.
     Ended,
 }
 
-/// A process's part in hand-overs.
+/// The hand-over state of a process.
 pub struct Upgrade {
     rendezvous: Rendezvous,
     request: Request,
     listener: Option<UnixListener>,
     successor: Successor,
-    /// Another process takes over from the predecessor: what waits for successors is that one's.
+    /// Whether the predecessor refused because another successor is taking over: that one owns the rendezvous
+    /// path.
     predecessor_busy: bool,
     predecessor_channel: Option<Channel>,
-    /// What the predecessor gave and has not been taken into use.
+    /// Sockets received from the predecessor that are not in use yet.
     adopted: Vec<(SocketRole, OwnedFd)>,
     predecessor: Predecessor,
     successor_channel: Option<Channel>,
 }
 
 impl Upgrade {
-    /// Asks a process that runs under this name and address, if there is one, and waits a moment for its offer.
+    /// Asks a process running under this name and address, if any, for a hand-over and waits up to
+    /// `OFFER_TIMEOUT` for its offer.
     pub fn start(directory: &Path, name: &str, listen: SocketAddr) -> (Self, Option<Offer>) {
         let request = Request { version: VERSION, name: name.to_owned(), listen };
         let mut upgrade = Upgrade {
@@ -99,11 +101,12 @@
         }
     }
 
-    /// Sends the request and waits for what comes back. This is before the loop runs, so it may wait.
+    /// Sends the request and waits for the answer. This runs before the event loop, so it may block.
     fn await_offer(&mut self, mut channel: Channel) -> Result<SuccessorEvent, ChannelError> {
         let deadline = Instant::now() + OFFER_TIMEOUT;
         channel.stream().set_write_timeout(Some(OFFER_TIMEOUT))?;
-        // A process that is busy says so and closes before it reads: its word is there though the request found nobody.
+        // A busy process sends its refusal and closes before it reads the request: the refusal can be read
+        // although the request could not be sent.
         let sent = channel.send(&Message::Request(self.request.clone()), &[]);
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
@@ -134,23 +137,23 @@
         Some(self.adopted.swap_remove(index).1)
     }
 
-    /// The predecessor's listener for this role, if it listens at this address.
+    /// Takes the predecessor's listener for this role, if it is bound to this address.
     pub fn take_listener(&mut self, role: SocketRole, address: SocketAddr) -> Option<TcpListener> {
         let listener = TcpListener::from(self.take_adopted_socket(role)?);
         let bound = listener.local_addr().ok()?;
         is_bound_to(bound, address).then_some(listener)
     }
 
-    /// The predecessor's socket for datagrams, if it is bound to this address.
+    /// Takes the predecessor's gossip socket, if it is bound to this address.
     pub fn take_udp_socket(&mut self, address: SocketAddr) -> Option<UdpSocket> {
         let socket = UdpSocket::from(self.take_adopted_socket(SocketRole::Peers)?);
         let bound = socket.local_addr().ok()?;
         is_bound_to(bound, address).then_some(socket)
     }
 
-    /// This process takes clients: its predecessor may stop, and its own successor may come.
+    /// Announces that this process accepts clients: the predecessor may stop, and a successor may connect.
     pub fn now_listening(&mut self, net: &Net) {
-        // What was given and is not used would hold clients that nobody accepts.
+        // An adopted listener that stays open unused would queue clients that nobody accepts.
         self.adopted.clear();
         if self.successor.handle(SuccessorEvent::Listening) == SuccessorAction::AnnounceReady {
             self.announce_ready(net);
@@ -160,15 +163,16 @@
 
     fn announce_ready(&mut self, net: &Net) {
         let Some(channel) = &mut self.predecessor_channel else { return };
-        // A predecessor that can't be told has ended, which the poller reports.
+        // If sending fails the predecessor has ended, which the poller reports.
         let _ = channel.send(&Message::Ready, &[]);
         let _ = net.poll.add(channel.stream(), PREDECESSOR_KEY, true, false);
     }
 
-    /// Listens for a successor.
+    /// Listens on the rendezvous path for a successor.
     pub fn listen_for_successor(&mut self, net: &Net) {
-        // Two processes run already. Were the path taken from the one that takes over, the next upgrade would have the
-        // sockets of this one, and leave the other's clients without a successor.
+        // Two processes are running already. If this one took the path from the process that is taking over,
+        // the next upgrade would receive this process's sockets, and the other's clients would have no
+        // successor.
         let listener = match self.predecessor_busy {
             true => self.rendezvous.listen_if_free(),
             false => self.rendezvous.listen(),
@@ -183,14 +187,14 @@
         }
     }
 
-    /// Takes no further successors: the one there is has the path.
+    /// Stops listening for successors: the current successor listens on the path now.
     pub fn close_rendezvous(&mut self, net: &Net) {
         if let Some(listener) = self.listener.take() {
             net.poll.remove(&listener);
         }
     }
 
-    /// Takes the connections of successors that wait.
+    /// Accepts the connections of waiting successors.
     pub fn accept_successors(&mut self, net: &Net) {
         let Some(listener) = &self.listener else { return };
         while let Ok((stream, _)) = listener.accept() {
@@ -204,7 +208,7 @@
                     }
                 }
                 Ok(mut channel) => drop(channel.send(&Message::Refusal(Refusal::Busy), &[])),
-                Err(error) => tracing::warn!("upgrade: {error}"),
+                Err(error) => tracing::warn!("upgrade: connection from a new process failed: {error}"),
             }
         }
         let _ = net.poll.rearm(listener, RENDEZVOUS_KEY, true, false);
@@ -215,7 +219,7 @@
         Channel::new(stream)
     }
 
-    /// What the successor's channel has brought, and what this process is to do then.
+    /// Handles the successor's channel, and returns what this process has to do.
     pub fn successor_ready(&mut self, net: &Net, stopping: bool) -> PredecessorAction {
         let Some(channel) = &mut self.successor_channel else { return PredecessorAction::None };
         let received = channel.flush().and_then(|()| channel.receive());
@@ -233,7 +237,7 @@
             },
             Err(error) => {
                 if !matches!(error, ChannelError::Closed) {
-                    tracing::warn!("upgrade: {error}");
+                    tracing::warn!("upgrade: channel to the new process failed: {error}");
                 }
                 PredecessorEvent::SuccessorEnded
             }
@@ -263,24 +267,24 @@
         }
     }
 
-    /// Gives the successor what it asked for.
+    /// Sends the offer and the sockets to the successor.
     pub fn send_offer(&mut self, net: &Net, offer: Offer, sockets: &[BorrowedFd<'_>]) {
         let Some(channel) = &mut self.successor_channel else { return };
         if let Err(error) = channel.send(&Message::Offer(offer), sockets) {
-            tracing::warn!("upgrade: {error}");
+            tracing::warn!("upgrade: the sockets were not sent to the new process: {error}");
         }
         self.rearm_successor(net);
     }
 
-    /// Tells the successor what this process has spent.
+    /// Sends the successor what this process has spent of the shared budgets.
     pub fn send_spending(&mut self, net: &Net, spending: String) {
         let Some(channel) = &mut self.successor_channel else { return };
-        // A successor that can't be told has ended, which the poller reports.
+        // If sending fails the successor has ended, which the poller reports.
         let _ = channel.send(&Message::Spending(spending), &[]);
         self.rearm_successor(net);
     }
 
-    /// What the predecessor's channel has brought.
+    /// Receives from the predecessor's channel.
     pub fn predecessor_ready(&mut self, net: &Net) -> PredecessorUpdate {
         let Some(channel) = &mut self.predecessor_channel else { return PredecessorUpdate::None };
         match channel.flush().and_then(|()| channel.receive()) {
@@ -303,7 +307,7 @@
     }
 }
 
-/// Whether a socket is bound where it was asked for; port 0 asks for any.
+/// Whether a socket is bound to the requested address; port 0 stands for any port.
 fn is_bound_to(bound: SocketAddr, requested: SocketAddr) -> bool {
     let same_host = |ip: IpAddr| ip == requested.ip();
     same_host(bound.ip()) && (requested.port() == 0 || bound.port() == requested.port())
--- a/tests/upgrade/failures.rs
+++ b/tests/upgrade/failures.rs
@@ -24,7 +24,7 @@
     let successor = site.held_successor(&old);
     load.wait_for(SOME);
     successor.kill();
-    old.logs("this one serves on");
+    old.logs("this one continues to serve");
     load.wait_for(SOME);
     let further = site.start_successor();
     old.stop();
@@ -42,7 +42,7 @@
     successor.kill();
     // These wait in the queue until the old process accepts again.
     site.serves("again");
-    old.logs("clients are taken here again");
+    old.logs("this one accepts clients again");
     assert!(old.is_ready());
     let further = site.start_successor();
     old.stop();
