--- a/crates/trace/src/write.rs
+++ b/crates/trace/src/write.rs
@@ -193,7 +193,8 @@
         };
         if compressed.len() > max_compressed || payload.len() > max_uncompressed {
             let fault = format!(
-                "trace {} too long: {} bytes, {} compressed; the maximum is {max_uncompressed} and {max_compressed}",
+                "trace {} too long: {} bytes, {} compressed; the maximum is {max_uncompressed} bytes, \
+                 {max_compressed} compressed",
                 if frame.is_footer { "footer" } else { "block" },
                 payload.len(),
                 compressed.len(),
