--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use channel::{Channel, ChannelError, Received};
 pub use limits::{ClientLimits, joint_client_limits};
-pub use message::{Message, Offer, Refusal, Request, SocketRole, VERSION};
+pub use message::{Message, Offer, PROTOCOL_VERSION, Refusal, Request, SocketRole};
 pub use predecessor::{Predecessor, PredecessorAction, PredecessorEvent, PredecessorPhase};
 pub use rendezvous::{Rendezvous, RendezvousError};
 pub use successor::{Successor, SuccessorAction, SuccessorEvent, SuccessorPhase};
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Version of the messages. A request of another version is refused, and its sender starts without a hand-over.
-pub const VERSION: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 
 /// A message of the hand-over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::message::{Refusal, Request, VERSION};
+use crate::message::{PROTOCOL_VERSION, Refusal, Request};
 
 /// Where the predecessor stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     /// Accept clients again.
     ResumeAccepting,
     /// Use all that the limits allow: the successor has ended before it was ready.
-    UseWholeLimits,
+    UseFullLimits,
 }
 
 /// The predecessor's state.
@@ -76,7 +76,7 @@
             }
             (PredecessorPhase::Offered, PredecessorEvent::SuccessorEnded) => {
                 self.phase = PredecessorPhase::Waiting;
-                PredecessorAction::UseWholeLimits
+                PredecessorAction::UseFullLimits
             }
             (PredecessorPhase::Waiting, _)
             | (PredecessorPhase::Released, PredecessorEvent::SuccessorReady) => PredecessorAction::None,
@@ -84,8 +84,8 @@
     }
 
     fn requested(&mut self, request: &Request, stopping: bool) -> PredecessorAction {
-        let refusal = if request.version != VERSION {
-            Some(Refusal::Version(VERSION))
+        let refusal = if request.version != PROTOCOL_VERSION {
+            Some(Refusal::Version(PROTOCOL_VERSION))
         } else if request.name != self.name || request.listen != self.listen {
             Some(Refusal::OtherBroker)
         } else if stopping {
--- a/crates/handover/src/rendezvous.rs
+++ b/crates/handover/src/rendezvous.rs
@@ -19,7 +19,7 @@
 pub enum RendezvousError {
     /// The path is taken by something that is no socket.
     #[error("{0}: is there and is no socket: move it away, or give another $TMPDIR")]
-    Foreign(PathBuf),
+    NotASocket(PathBuf),
     /// Another process of this broker listens there.
     #[error(
         "{0}: another process of this broker waits there: end this one, start it again after the upgrade"
@@ -97,7 +97,7 @@
         let fault = |source| RendezvousError::Io { path: self.path.clone(), source };
         match fs::symlink_metadata(&self.path) {
             Ok(found) if found.file_type().is_socket() => fs::remove_file(&self.path).map_err(fault)?,
-            Ok(_) => return Err(RendezvousError::Foreign(self.path.clone())),
+            Ok(_) => return Err(RendezvousError::NotASocket(self.path.clone())),
             Err(error) if error.kind() == io::ErrorKind::NotFound => {}
             Err(error) => return Err(fault(error)),
         }
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -12,7 +12,7 @@
     /// It takes clients; the predecessor serves those that it has.
     Ready,
     /// There is no other process: none was found, none gave anything, or it has ended.
-    Alone,
+    Standalone,
 }
 
 /// What happens to the successor.
@@ -42,7 +42,7 @@
     /// Tell the predecessor that it may stop accepting.
     AnnounceReady,
     /// Use all that the limits allow: nobody shares them any more.
-    UseWholeLimits,
+    UseFullLimits,
 }
 
 /// The successor's state.
@@ -58,8 +58,8 @@
     }
 
     /// A process that has found nobody to ask.
-    pub fn alone() -> Self {
-        Successor { phase: SuccessorPhase::Alone }
+    pub fn standalone() -> Self {
+        Successor { phase: SuccessorPhase::Standalone }
     }
 
     /// Where it stands.
@@ -78,7 +78,7 @@
                 SuccessorPhase::Requested,
                 SuccessorEvent::Refused(_) | SuccessorEvent::NoAnswer | SuccessorEvent::PredecessorEnded,
             ) => {
-                self.phase = SuccessorPhase::Alone;
+                self.phase = SuccessorPhase::Standalone;
                 SuccessorAction::BindOwn
             }
             (SuccessorPhase::Adopted, SuccessorEvent::Listening) => {
@@ -89,8 +89,8 @@
                 SuccessorPhase::Adopted | SuccessorPhase::Ready,
                 SuccessorEvent::PredecessorEnded | SuccessorEvent::NoAnswer,
             ) => {
-                self.phase = SuccessorPhase::Alone;
-                SuccessorAction::UseWholeLimits
+                self.phase = SuccessorPhase::Standalone;
+                SuccessorAction::UseFullLimits
             }
             _ => SuccessorAction::None,
         }
--- a/crates/handover/tests/rendezvous.rs
+++ b/crates/handover/tests/rendezvous.rs
@@ -93,7 +93,7 @@
     assert!(rendezvous.connect().expect("nothing wrong").is_none());
     let result = rendezvous.listen();
     assert!(
-        matches!(&result, Err(RendezvousError::Foreign(path)) if path == rendezvous.path()),
+        matches!(&result, Err(RendezvousError::NotASocket(path)) if path == rendezvous.path()),
         "{result:?}"
     );
     assert_eq!(fs::read_to_string(rendezvous.path()).expect("there"), "mine");
--- a/crates/handover/tests/state_machines.rs
+++ b/crates/handover/tests/state_machines.rs
@@ -1,15 +1,15 @@
 //! Both state machines of the hand-over, by table: each phase with each event.
 
 use badgergauge_handover::{
-    Offer, Predecessor, PredecessorAction, PredecessorEvent, PredecessorPhase, Refusal, Request, SocketRole,
-    Successor, SuccessorAction, SuccessorEvent, SuccessorPhase, VERSION,
+    Offer, PROTOCOL_VERSION, Predecessor, PredecessorAction, PredecessorEvent, PredecessorPhase, Refusal,
+    Request, SocketRole, Successor, SuccessorAction, SuccessorEvent, SuccessorPhase,
 };
 
 const NAME: &str = "broker-1";
 const LISTEN: &str = "127.0.0.1:8080";
 
 fn request() -> Request {
-    Request { version: VERSION, name: NAME.to_owned(), listen: LISTEN.parse().expect("an address") }
+    Request { version: PROTOCOL_VERSION, name: NAME.to_owned(), listen: LISTEN.parse().expect("an address") }
 }
 
 fn requested() -> PredecessorEvent {
@@ -36,7 +36,7 @@
 /// A successor that was brought into this phase.
 fn successor(phase: SuccessorPhase) -> Successor {
     let mut successor = match phase {
-        SuccessorPhase::Alone => Successor::alone(),
+        SuccessorPhase::Standalone => Successor::standalone(),
         _ => Successor::requested(),
     };
     if matches!(phase, SuccessorPhase::Adopted | SuccessorPhase::Ready) {
@@ -61,7 +61,7 @@
         (Waiting, SuccessorEnded, Action::None, Waiting),
         (Offered, requested(), busy(), Offered),
         (Offered, SuccessorReady, Action::StopAccepting, Released),
-        (Offered, SuccessorEnded, Action::UseWholeLimits, Waiting),
+        (Offered, SuccessorEnded, Action::UseFullLimits, Waiting),
         (Released, requested(), busy(), Released),
         (Released, SuccessorReady, Action::None, Released),
         (Released, SuccessorEnded, Action::ResumeAccepting, Waiting),
@@ -85,7 +85,7 @@
         (Waiting, SuccessorEnded, Action::None, Waiting),
         (Offered, requested(), refused(), Offered),
         (Offered, SuccessorReady, Action::StopAccepting, Released),
-        (Offered, SuccessorEnded, Action::UseWholeLimits, Waiting),
+        (Offered, SuccessorEnded, Action::UseFullLimits, Waiting),
         (Released, requested(), refused(), Released),
         (Released, SuccessorReady, Action::None, Released),
         (Released, SuccessorEnded, Action::None, Waiting),
@@ -100,8 +100,11 @@
 #[test]
 fn a_request_of_another_version_or_for_another_broker_is_refused_in_each_phase() {
     let table = [
-        (Request { version: VERSION + 1, ..request() }, Refusal::Version(VERSION)),
-        (Request { version: VERSION + 1, name: "other".to_owned(), ..request() }, Refusal::Version(VERSION)),
+        (Request { version: PROTOCOL_VERSION + 1, ..request() }, Refusal::Version(PROTOCOL_VERSION)),
+        (
+            Request { version: PROTOCOL_VERSION + 1, name: "other".to_owned(), ..request() },
+            Refusal::Version(PROTOCOL_VERSION),
+        ),
         (Request { name: "other".to_owned(), ..request() }, Refusal::OtherBroker),
         (
             Request { listen: "127.0.0.1:8081".parse().expect("an address"), ..request() },
@@ -133,28 +136,28 @@
 fn each_phase_of_the_successor_with_each_event() {
     use SuccessorAction as Action;
     use SuccessorEvent::{Listening, NoAnswer, Offered, PredecessorEnded, Refused};
-    use SuccessorPhase::{Adopted, Alone, Ready, Requested};
+    use SuccessorPhase::{Adopted, Ready, Requested, Standalone};
     let table = [
         (Requested, Offered(offer()), Action::Adopt(offer()), Adopted),
-        (Requested, Refused(Refusal::Busy), Action::BindOwn, Alone),
-        (Requested, NoAnswer, Action::BindOwn, Alone),
+        (Requested, Refused(Refusal::Busy), Action::BindOwn, Standalone),
+        (Requested, NoAnswer, Action::BindOwn, Standalone),
         (Requested, Listening, Action::None, Requested),
-        (Requested, PredecessorEnded, Action::BindOwn, Alone),
+        (Requested, PredecessorEnded, Action::BindOwn, Standalone),
         (Adopted, Offered(offer()), Action::None, Adopted),
         (Adopted, Refused(Refusal::Busy), Action::None, Adopted),
-        (Adopted, NoAnswer, Action::UseWholeLimits, Alone),
+        (Adopted, NoAnswer, Action::UseFullLimits, Standalone),
         (Adopted, Listening, Action::AnnounceReady, Ready),
-        (Adopted, PredecessorEnded, Action::UseWholeLimits, Alone),
+        (Adopted, PredecessorEnded, Action::UseFullLimits, Standalone),
         (Ready, Offered(offer()), Action::None, Ready),
         (Ready, Refused(Refusal::Busy), Action::None, Ready),
-        (Ready, NoAnswer, Action::UseWholeLimits, Alone),
+        (Ready, NoAnswer, Action::UseFullLimits, Standalone),
         (Ready, Listening, Action::None, Ready),
-        (Ready, PredecessorEnded, Action::UseWholeLimits, Alone),
-        (Alone, Offered(offer()), Action::None, Alone),
-        (Alone, Refused(Refusal::Busy), Action::None, Alone),
-        (Alone, NoAnswer, Action::None, Alone),
-        (Alone, Listening, Action::None, Alone),
-        (Alone, PredecessorEnded, Action::None, Alone),
+        (Ready, PredecessorEnded, Action::UseFullLimits, Standalone),
+        (Standalone, Offered(offer()), Action::None, Standalone),
+        (Standalone, Refused(Refusal::Busy), Action::None, Standalone),
+        (Standalone, NoAnswer, Action::None, Standalone),
+        (Standalone, Listening, Action::None, Standalone),
+        (Standalone, PredecessorEnded, Action::None, Standalone),
     ];
     for (phase, event, action, next) in table {
         let mut successor = successor(phase);
--- a/src/broker/upgrade.rs
+++ b/src/broker/upgrade.rs
@@ -24,7 +24,7 @@
             PredecessorAction::Offer => self.offer_sockets(now),
             PredecessorAction::StopAccepting => self.stop_accepting(now),
             PredecessorAction::ResumeAccepting => self.resume_accepting(now),
-            PredecessorAction::UseWholeLimits => self.serve_on(),
+            PredecessorAction::UseFullLimits => self.serve_on(),
         }
     }
 
--- a/src/upgrade.rs
+++ b/src/upgrade.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 use crate::handover::{
-    Channel, ChannelError, Message, Offer, Predecessor, PredecessorAction, PredecessorEvent,
-    PredecessorPhase, Refusal, Rendezvous, Request, SocketRole, Successor, SuccessorAction, SuccessorEvent,
-    VERSION,
+    Channel, ChannelError, Message, Offer, PROTOCOL_VERSION, Predecessor, PredecessorAction,
+    PredecessorEvent, PredecessorPhase, Refusal, Rendezvous, Request, SocketRole, Successor, SuccessorAction,
+    SuccessorEvent,
 };
 use crate::net::Net;
 
@@ -53,12 +53,12 @@
 impl Upgrade {
     /// Asks a process that runs under this name and address, if there is one, and waits a moment for its offer.
     pub fn begin(folder: &Path, name: &str, listen: SocketAddr) -> (Self, Option<Offer>) {
-        let request = Request { version: VERSION, name: name.to_owned(), listen };
+        let request = Request { version: PROTOCOL_VERSION, name: name.to_owned(), listen };
         let mut upgrade = Upgrade {
             rendezvous: Rendezvous::new(folder, name, listen),
             request,
             listener: None,
-            successor: Successor::alone(),
+            successor: Successor::standalone(),
             refused_as_busy: false,
             to_predecessor: None,
             adopted: Vec::new(),
@@ -295,7 +295,7 @@
                 net.poll.remove(channel.stream());
                 self.to_predecessor = None;
                 match self.successor.handle(SuccessorEvent::PredecessorEnded) {
-                    SuccessorAction::UseWholeLimits => PredecessorNews::Ended,
+                    SuccessorAction::UseFullLimits => PredecessorNews::Ended,
                     _ => PredecessorNews::None,
                 }
             }
