--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -9,37 +9,41 @@
 use serde_json::Value;
 
 /// Longest list that is read, in bytes.
-pub const MAX_LIST: usize = 4 * 1024 * 1024;
+pub const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a list could not be taken. The one in hand stays valid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
     /// It is no JSON, or lacks what a list must hold.
-    #[error("{fault}; the last good list stays in use: look at what discovery sends there")]
+    #[error("{problem}; the last good list stays in use: look at what discovery sends there")]
     Malformed {
         /// Where and what, counted from the list's begin.
-        fault: String,
+        problem: String,
     },
     /// An entry can't be true.
-    #[error("{name}: {fault}; the last good list stays in use: mend that entry where servers are registered")]
-    Entry {
+    #[error(
+        "{name}: {problem}; the last good list stays in use: mend that entry where servers are registered"
+    )]
+    InvalidEntry {
         /// The server's name.
         name: String,
         /// The key and what is wrong with it.
-        fault: String,
+        problem: String,
     },
     /// It goes on for too long.
-    #[error("a list is longer than {MAX_LIST} bytes; the last good one stays in use: register fewer servers")]
+    #[error(
+        "a list is longer than {MAX_LIST_BYTES} bytes; the last good one stays in use: register fewer servers"
+    )]
     TooLong,
 }
 
 /// A list as discovery gives it: whole, or the lines that changed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listing {
+pub struct ServerList {
     /// Its version.
     pub index: u64,
     /// Whether it is the whole list.
-    pub whole: bool,
+    pub is_full: bool,
     /// Its lines, each with the server's address.
     pub members: Vec<(Member, Option<SocketAddr>)>,
 }
@@ -74,10 +78,10 @@
     }
 }
 
-impl Listing {
+impl ServerList {
     fn new(message: Message, clock: &Clock) -> Result<Self, ListError> {
         let member = |endpoint: Endpoint| {
-            let entry = |fault| ListError::Entry { name: endpoint.name.clone(), fault };
+            let entry = |problem| ListError::InvalidEntry { name: endpoint.name.clone(), problem };
             let states = [ServerState::Up, ServerState::Draining, ServerState::Removed];
             let Some(state) = states.into_iter().find(|state| status_word(*state) == endpoint.status) else {
                 return Err(entry(format!("status: unknown word {:?}", endpoint.status)));
@@ -90,7 +94,7 @@
             Ok((Member { name, zone, cell, state, started: clock.from_unix_ms(since_ms) }, address))
         };
         let members = message.endpoints.into_iter().map(member).collect::<Result<_, _>>()?;
-        Ok(Listing { index: message.index, whole: message.snapshot, members })
+        Ok(ServerList { index: message.index, is_full: message.snapshot, members })
     }
 
     /// The list as discovery would give it, as JSON.
@@ -104,17 +108,17 @@
             since_ms: clock.unix_ms(member.started),
         };
         let endpoints = self.members.iter().map(endpoint).collect();
-        serde_json::json!(Message { index: self.index, snapshot: self.whole, endpoints })
+        serde_json::json!(Message { index: self.index, snapshot: self.is_full, endpoints })
     }
 
     /// Reads a list that came inside of other JSON.
     ///
     /// # Errors
     ///
-    /// Says which key is at fault.
+    /// Says which key is at problem.
     pub fn from_value(value: &Value, clock: &Clock) -> Result<Self, ListError> {
         let message: Message = serde_path_to_error::deserialize(value).map_err(|error| {
-            ListError::Malformed { fault: format!("{}: {}", error.path(), error.inner()) }
+            ListError::Malformed { problem: format!("{}: {}", error.path(), error.inner()) }
         })?;
         Self::new(message, clock)
     }
@@ -126,7 +130,7 @@
 /// The end of a list is told by its braces: a parser that is shown a part of one can't always tell a number that is
 /// cut from one that is wrong.
 #[derive(Debug, Default)]
-pub struct Values {
+pub struct ListDecoder {
     bytes: Vec<u8>,
     /// Bytes of the list under way that were looked at.
     looked: usize,
@@ -136,7 +140,7 @@
     escaped: bool,
 }
 
-impl Values {
+impl ListDecoder {
     /// Takes what has come.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
@@ -147,7 +151,7 @@
     /// # Errors
     ///
     /// When what comes is no list: nothing behind it can be told apart any more.
-    pub fn next(&mut self, clock: &Clock) -> Result<Option<Listing>, ListError> {
+    pub fn next_list(&mut self, clock: &Clock) -> Result<Option<ServerList>, ListError> {
         if self.looked == 0 {
             let begin = self.bytes.iter().position(|&byte| byte == b'{').unwrap_or(self.bytes.len());
             let noise = self.bytes[..begin].trim_ascii().len();
@@ -157,13 +161,13 @@
             self.bytes.drain(..begin);
         }
         let Some(end) = self.end() else {
-            return if self.bytes.len() > MAX_LIST { Err(ListError::TooLong) } else { Ok(None) };
+            return if self.bytes.len() > MAX_LIST_BYTES { Err(ListError::TooLong) } else { Ok(None) };
         };
         let message = serde_json::from_slice(&self.bytes[..end])
-            .map_err(|error| ListError::Malformed { fault: error.to_string() })?;
+            .map_err(|error| ListError::Malformed { problem: error.to_string() })?;
         self.bytes.drain(..end);
         self.looked = 0;
-        Listing::new(message, clock).map(Some)
+        ServerList::new(message, clock).map(Some)
     }
 
     /// Where the list under way ends, once its last brace is in.
@@ -186,7 +190,7 @@
     }
 
     /// Bytes held of a list that is not whole.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.bytes.len()
     }
 }
--- a/crates/discovery/src/list/tests.rs
+++ b/crates/discovery/src/list/tests.rs
@@ -10,10 +10,10 @@
     if indented { serde_json::to_string_pretty(&list) } else { serde_json::to_string(&list) }.expect("JSON")
 }
 
-fn take(values: &mut Values, clock: &Clock, bytes: &[u8]) -> Result<Vec<(u64, usize)>, ListError> {
-    values.push(bytes);
+fn take(decoder: &mut ListDecoder, clock: &Clock, bytes: &[u8]) -> Result<Vec<(u64, usize)>, ListError> {
+    decoder.push(bytes);
     let mut taken = Vec::new();
-    while let Some(list) = values.next(clock)? {
+    while let Some(list) = decoder.next_list(clock)? {
         taken.push((list.index, list.members.len()));
     }
     Ok(taken)
@@ -33,17 +33,17 @@
             text(4, &["d"; 40], indented),
         );
         let all = vec![(1, 2), (2, 0), (3, 1), (4, 40)];
-        assert_eq!(take(&mut Values::default(), &clock, stream.as_bytes()), Ok(all.clone()));
+        assert_eq!(take(&mut ListDecoder::default(), &clock, stream.as_bytes()), Ok(all.clone()));
         for cut in 0..=stream.len() {
             let (first, rest) = stream.as_bytes().split_at(cut);
-            let mut values = Values::default();
-            let mut taken = take(&mut values, &clock, first).expect("sound");
-            taken.extend(take(&mut values, &clock, rest).expect("sound"));
-            assert_eq!((taken, values.held()), (all.clone(), 0), "cut at {cut}");
+            let mut decoder = ListDecoder::default();
+            let mut taken = take(&mut decoder, &clock, first).expect("sound");
+            taken.extend(take(&mut decoder, &clock, rest).expect("sound"));
+            assert_eq!((taken, decoder.buffered_bytes()), (all.clone(), 0), "cut at {cut}");
         }
-        let mut values = Values::default();
+        let mut decoder = ListDecoder::default();
         let bytes = stream.as_bytes().chunks(1);
-        let taken: Vec<_> = bytes.flat_map(|b| take(&mut values, &clock, b).expect("sound")).collect();
+        let taken: Vec<_> = bytes.flat_map(|b| take(&mut decoder, &clock, b).expect("sound")).collect();
         assert_eq!(taken, all, "byte by byte");
     }
 }
@@ -53,10 +53,10 @@
 fn a_list_is_given_with_its_last_byte() {
     let clock = Clock::start();
     let (first, second) = (text(1, &["a"], true), text(2, &["b"], true));
-    let mut values = Values::default();
-    assert_eq!(take(&mut values, &clock, &first.as_bytes()[..first.len() - 1]), Ok(vec![]));
+    let mut decoder = ListDecoder::default();
+    assert_eq!(take(&mut decoder, &clock, &first.as_bytes()[..first.len() - 1]), Ok(vec![]));
     let rest = format!("}}{}", &second[..second.len() / 2]);
-    assert_eq!(take(&mut values, &clock, rest.as_bytes()), Ok(vec![(1, 1)]));
+    assert_eq!(take(&mut decoder, &clock, rest.as_bytes()), Ok(vec![(1, 1)]));
 }
 
 // Guards memory, and the list in hand, against what is no list.
@@ -71,14 +71,15 @@
         ("{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"status\":\"up\"}]}", "a: address"),
     ];
     for (text, words) in faults {
-        let error = take(&mut Values::default(), &clock, text.as_bytes()).expect_err("no list").to_string();
+        let error =
+            take(&mut ListDecoder::default(), &clock, text.as_bytes()).expect_err("no list").to_string();
         assert!(error.contains(words) && error.contains("stays in use"), "{text}: {error}");
     }
-    let mut values = Values::default();
+    let mut decoder = ListDecoder::default();
     let open = b"{\"index\":[[[[{";
-    let long = (0..=MAX_LIST / 1024).find_map(|_| take(&mut values, &clock, &[b' '; 1024]).err());
-    assert_eq!((long, values.held()), (None, 0), "white space adds up to nothing");
-    assert_eq!(take(&mut values, &clock, open), Ok(vec![]));
-    let long = (0..=MAX_LIST / 1024).find_map(|_| take(&mut values, &clock, &[b' '; 1024]).err());
+    let long = (0..=MAX_LIST_BYTES / 1024).find_map(|_| take(&mut decoder, &clock, &[b' '; 1024]).err());
+    assert_eq!((long, decoder.buffered_bytes()), (None, 0), "white space adds up to nothing");
+    assert_eq!(take(&mut decoder, &clock, open), Ok(vec![]));
+    let long = (0..=MAX_LIST_BYTES / 1024).find_map(|_| take(&mut decoder, &clock, &[b' '; 1024]).err());
     assert_eq!(long, Some(ListError::TooLong));
 }
--- a/crates/discovery/src/register.rs
+++ b/crates/discovery/src/registry.rs
@@ -12,14 +12,14 @@
 use badgergauge_core::core::Member;
 use badgergauge_core::interface::{ServerState, Time};
 
-use crate::list::Listing;
-use crate::pace::COUNTS_AS_TOLD;
+use crate::list::ServerList;
+use crate::schedule::DELIVERY_DEADLINE;
 
 type Members = BTreeMap<String, (Member, Option<SocketAddr>)>;
 
 /// The list in hand.
 #[derive(Debug, Default)]
-pub struct Register {
+pub struct ServerRegistry {
     index: u64,
     members: Members,
     older: Option<Older>,
@@ -33,8 +33,8 @@
     members: Members,
 }
 
-fn apply(members: &mut Members, list: &Listing) {
-    if list.whole {
+fn apply_changes(members: &mut Members, list: &ServerList) {
+    if list.is_full {
         members.clear();
     }
     for (member, address) in &list.members {
@@ -45,73 +45,73 @@
     }
 }
 
-impl Register {
+impl ServerRegistry {
     /// The version of the list in hand.
     pub fn index(&self) -> u64 {
         self.index
     }
 
     /// The list in hand, whole.
-    pub fn listing(&self) -> Listing {
-        Listing { index: self.index, whole: true, members: self.members.values().cloned().collect() }
+    pub fn server_list(&self) -> ServerList {
+        ServerList { index: self.index, is_full: true, members: self.members.values().cloned().collect() }
     }
 
     /// Takes a list that has come, and gives what of it holds now.
-    pub fn take(&mut self, now: Time, list: Listing) -> Listing {
+    pub fn apply(&mut self, now: Time, list: ServerList) -> ServerList {
         if list.index >= self.index {
             self.index = list.index;
             self.older = None;
-            apply(&mut self.members, &list);
+            apply_changes(&mut self.members, &list);
             return list;
         }
         match &mut self.older {
             Some(older) => {
                 older.index = list.index;
-                apply(&mut older.members, &list);
+                apply_changes(&mut older.members, &list);
             }
             // Changes to a list that is not known can be nothing but late.
-            None if !list.whole => {}
+            None if !list.is_full => {}
             None => {
                 let mut members = Members::new();
-                apply(&mut members, &list);
+                apply_changes(&mut members, &list);
                 self.older = Some(Older { since: now, index: list.index, members });
             }
         }
-        let taken = self.taken_away(&list);
-        apply(&mut self.members, &taken);
+        let taken = self.removals(&list);
+        apply_changes(&mut self.members, &taken);
         taken
     }
 
     /// What an older list takes away from the one in hand, as changes to it.
-    fn taken_away(&self, list: &Listing) -> Listing {
+    fn removals(&self, list: &ServerList) -> ServerList {
         let listed = |name: &str| list.members.iter().find(|(member, _)| member.name == name);
         let change = |(member, address): &(Member, Option<SocketAddr>)| {
             let state = match listed(&member.name) {
                 Some((listed, _)) if listed.state == ServerState::Up => return None,
                 Some((listed, _)) => listed.state,
-                None if list.whole => ServerState::Removed,
+                None if list.is_full => ServerState::Removed,
                 None => return None,
             };
             (state != member.state).then(|| (Member { state, ..member.clone() }, *address))
         };
         let members = self.members.values().filter_map(change).collect();
-        Listing { index: self.index, whole: false, members }
+        ServerList { index: self.index, is_full: false, members }
     }
 
     /// When an older list is to be believed, at the latest.
     pub fn due(&self) -> Option<Time> {
-        Some(self.older.as_ref()?.since.after(COUNTS_AS_TOLD))
+        Some(self.older.as_ref()?.since.after(DELIVERY_DEADLINE))
     }
 
     /// The older list, whole, once it has stood for so long that it must be what discovery has.
-    pub fn believe(&mut self, now: Time) -> Option<Listing> {
-        let older = self.older.take_if(|older| now >= older.since.after(COUNTS_AS_TOLD))?;
+    pub fn accept_older(&mut self, now: Time) -> Option<ServerList> {
+        let older = self.older.take_if(|older| now >= older.since.after(DELIVERY_DEADLINE))?;
         (self.index, self.members) = (older.index, older.members);
-        Some(self.listing())
+        Some(self.server_list())
     }
 
     /// The watch has ended: whether its older list still stands is for the next one to say.
-    pub fn ended(&mut self) {
+    pub fn watch_ended(&mut self) {
         self.older = None;
     }
 }
--- a/crates/discovery/src/register/tests.rs
+++ b/crates/discovery/src/registry/tests.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-fn list(index: u64, whole: bool, states: &[(&str, ServerState)]) -> Listing {
+fn list(index: u64, is_full: bool, states: &[(&str, ServerState)]) -> ServerList {
     let member = |(name, state): &(&str, ServerState)| {
         let (name, zone) = ((*name).to_owned(), "z".to_owned());
         (Member { name, zone, cell: 0, state: *state, started: None }, "127.0.0.1:9".parse().ok())
     };
-    Listing { index, whole, members: states.iter().map(member).collect() }
+    ServerList { index, is_full, members: states.iter().map(member).collect() }
 }
 
-fn states(list: &Listing) -> Vec<(&str, ServerState)> {
+fn states(list: &ServerList) -> Vec<(&str, ServerState)> {
     list.members.iter().map(|(member, _)| (member.name.as_str(), member.state)).collect()
 }
 
@@ -19,23 +19,23 @@
 // Guards drains against a list that is late: what a newer one has taken away does not come back with an older one.
 #[test]
 fn an_older_list_undoes_no_drain() {
-    let mut register = Register::default();
+    let mut registry = ServerRegistry::default();
     let now = Time(1_000_000_000);
     let newest = list(43, true, &[("a", Draining), ("b", Up), ("c", Up)]);
-    assert_eq!(register.take(now, newest.clone()), newest);
+    assert_eq!(registry.apply(now, newest.clone()), newest);
     // Older: a is up again, b drains, c is not there, and d is one that was gone in the newer list.
-    let older = register.take(now, list(41, true, &[("a", Up), ("b", Draining), ("d", Up)]));
+    let older = registry.apply(now, list(41, true, &[("a", Up), ("b", Draining), ("d", Up)]));
     assert_eq!(states(&older), [("b", Draining), ("c", Removed)]);
-    assert!(!older.whole);
+    assert!(!older.is_full);
     // Late changes alone take away, too, and give nothing back.
-    let mut register = Register::default();
-    register.take(now, newest);
-    let late = register.take(now, list(42, false, &[("a", Up), ("b", Removed), ("e", Up)]));
-    assert_eq!((states(&late), register.due()), (vec![("b", Removed)], None));
-    assert_eq!(register.index(), 43);
+    let mut registry = ServerRegistry::default();
+    registry.apply(now, newest);
+    let late = registry.apply(now, list(42, false, &[("a", Up), ("b", Removed), ("e", Up)]));
+    assert_eq!((states(&late), registry.due()), (vec![("b", Removed)], None));
+    assert_eq!(registry.index(), 43);
     // The next newer list holds as it is.
     let newer = list(44, false, &[("a", Up)]);
-    assert_eq!(register.take(now, newer.clone()), newer);
+    assert_eq!(registry.apply(now, newer.clone()), newer);
 }
 
 // Guards against deafness: a discovery that counts anew is heard, what it says in the meantime included, once it has
@@ -44,26 +44,26 @@
 fn a_discovery_that_counts_anew_is_heard() {
     let now = Time(1_000_000_000);
     let start = || {
-        let mut register = Register::default();
-        register.take(now, list(43, true, &[("a", Draining), ("b", Up)]));
-        register.take(now, list(1, true, &[("a", Up), ("b", Up)]));
-        register
+        let mut registry = ServerRegistry::default();
+        registry.apply(now, list(43, true, &[("a", Draining), ("b", Up)]));
+        registry.apply(now, list(1, true, &[("a", Up), ("b", Up)]));
+        registry
     };
-    let mut register = start();
-    let meanwhile = register.take(now, list(2, false, &[("b", Draining), ("c", Up)]));
+    let mut registry = start();
+    let meanwhile = registry.apply(now, list(2, false, &[("b", Draining), ("c", Up)]));
     assert_eq!(states(&meanwhile), [("b", Draining)]);
-    let due = register.due().expect("it stands");
-    assert_eq!(due.since(now), COUNTS_AS_TOLD);
-    assert_eq!(register.believe(due.before(Duration::from_millis(1))), None);
-    let believed = register.believe(due).expect("it has stood");
+    let due = registry.due().expect("it stands");
+    assert_eq!(due.since(now), DELIVERY_DEADLINE);
+    assert_eq!(registry.accept_older(due.before(Duration::from_millis(1))), None);
+    let believed = registry.accept_older(due).expect("it has stood");
     assert_eq!(states(&believed), [("a", Up), ("b", Draining), ("c", Up)]);
-    assert_eq!((believed.index, register.index(), register.due()), (2, 2, None));
+    assert_eq!((believed.index, registry.index(), registry.due()), (2, 2, None));
     let next = list(3, false, &[("a", Draining)]);
-    assert_eq!(register.take(now, next.clone()), next);
+    assert_eq!(registry.apply(now, next.clone()), next);
 
     let mut newer = start();
-    newer.take(now, list(44, false, &[]));
+    newer.apply(now, list(44, false, &[]));
     let mut ended = start();
-    ended.ended();
+    ended.watch_ended();
     assert_eq!((newer.due(), ended.due()), (None, None));
 }
--- a/crates/discovery/src/pace.rs
+++ b/crates/discovery/src/schedule.rs
@@ -13,9 +13,9 @@
 use rand_chacha::ChaCha8Rng;
 
 /// An empty line comes every 2 s: a watch that has brought nothing for that and half a second more is broken.
-pub const SILENCE: Duration = Duration::from_millis(2500);
+pub const WATCH_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A change counts as told so long after discovery had it and could be reached, whatever became of the calls.
-pub const COUNTS_AS_TOLD: Duration = Duration::from_secs(6);
+pub const DELIVERY_DEADLINE: Duration = Duration::from_secs(6);
 /// A call that must be asked for waits in discovery's turn; one that waits for so long is answered no more.
 const CALL: Duration = Duration::from_secs(2);
 /// The first one after a watch is waited for no longer than this: should it fail too, there is time for another.
@@ -61,7 +61,7 @@
 
 impl Source {
     /// Where the settings say lists come from.
-    pub fn of(settings: &Settings, grace: Duration) -> Self {
+    pub fn from_settings(settings: &Settings, grace: Duration) -> Self {
         match settings.list_on_request {
             true => Source::Shared { brokers: settings.front_nodes },
             false => Source::Agent { grace },
@@ -69,7 +69,7 @@
     }
 
     /// How long a call may stay unanswered, after so many that failed since the last watch.
-    pub fn call(self, failed: u32) -> Duration {
+    pub fn call_timeout(self, failed: u32) -> Duration {
         match self {
             Source::Agent { grace } => (grace / GRACE_CALL).clamp(AGENT[0], AGENT[1]),
             Source::Shared { .. } if failed == 0 => FIRST_CALL,
@@ -87,7 +87,7 @@
 
     /// How long a new process waits for its first list before it serves with what it has. What an agent has counts as
     /// told from the process's first moment.
-    pub fn first_list(self) -> Duration {
+    pub fn first_list_timeout(self) -> Duration {
         match self {
             Source::Agent { grace } => (grace / GRACE_CALL).min(FIRST_LIST),
             Source::Shared { .. } => Duration::ZERO,
@@ -101,11 +101,11 @@
     /// There is none; the next call comes then.
     Waiting(Time),
     /// It was asked for then, and nothing has come yet.
-    Asking(Time),
+    Requested(Time),
     /// Its first list has begun then, and is not whole.
-    FirstList(Time),
+    ReadingFirstList(Time),
     /// A further list has begun then, and is not whole.
-    List(Time),
+    ReadingList(Time),
     /// It is open, and brought the last thing that was whole then: a list, or an empty line.
     Open(Time),
 }
@@ -114,7 +114,7 @@
 /// drawn. No wait is so long that a change would come later than it counts as told, whatever became of the call
 /// before.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct CallSchedule {
     source: Source,
     phase: Phase,
     /// When the last call was made, and when a watch last brought anything whole.
@@ -129,7 +129,7 @@
     rng: ChaCha8Rng,
 }
 
-impl Pace {
+impl CallSchedule {
     /// The pace of a broker that starts now. Brokers that share a discovery do not ask it together; of an agent
     /// nobody else asks.
     pub fn new(now: Time, source: Source, seed: u64) -> Self {
@@ -137,9 +137,18 @@
         let others = source.others();
         let [first, last] = [0, 1].map(|n| BACK_OFF[n].max(BACK_OFF_PER_BROKER[n].saturating_mul(others)));
         let (phase, back_off) = (Phase::Waiting(now), [first, last]);
-        let mut pace =
-            Pace { source, phase, asked: now, heard: None, failed: 0, cut: 0, back_off, next: first, rng };
-        let wait = pace.drawn(FIRST_PER_BROKER.saturating_mul(others).min(COUNTS_AS_TOLD - MARGIN - CALL));
+        let mut pace = CallSchedule {
+            source,
+            phase,
+            asked: now,
+            heard: None,
+            failed: 0,
+            cut: 0,
+            back_off,
+            next: first,
+            rng,
+        };
+        let wait = pace.drawn(FIRST_PER_BROKER.saturating_mul(others).min(DELIVERY_DEADLINE - MARGIN - CALL));
         pace.phase = Phase::Waiting(now.after(wait));
         pace
     }
@@ -157,29 +166,29 @@
     pub fn due(&self) -> Time {
         match self.phase {
             Phase::Waiting(at) => at,
-            Phase::Asking(since) => since.after(self.source.call(self.failed)),
+            Phase::Requested(since) => since.after(self.source.call_timeout(self.failed)),
             // One that is cut again and again is given more time: it may be long, and its way slow.
-            Phase::FirstList(begun) => {
-                let limit = self.source.call(self.failed).saturating_mul(1 << self.cut.min(8));
+            Phase::ReadingFirstList(begun) => {
+                let limit = self.source.call_timeout(self.failed).saturating_mul(1 << self.cut.min(8));
                 begun.after(limit.min(CALL))
             }
-            Phase::List(begun) => begun.after(LIST),
-            Phase::Open(heard) => heard.after(SILENCE),
+            Phase::ReadingList(begun) => begun.after(LIST),
+            Phase::Open(heard) => heard.after(WATCH_TIMEOUT),
         }
     }
 
     /// Whether a call is due.
-    pub fn may_ask(&self, now: Time) -> bool {
+    pub fn is_call_due(&self, now: Time) -> bool {
         matches!(self.phase, Phase::Waiting(at) if now >= at)
     }
 
     /// A call is made.
-    pub fn asked(&mut self, now: Time) {
-        (self.phase, self.asked) = (Phase::Asking(now), now);
+    pub fn call_started(&mut self, now: Time) {
+        (self.phase, self.asked) = (Phase::Requested(now), now);
     }
 
     /// Something whole came: a list, an empty line, or the head of an answer.
-    pub fn heard(&mut self, now: Time) {
+    pub fn received(&mut self, now: Time) {
         (self.phase, self.heard) = (Phase::Open(now), Some(now));
         (self.failed, self.cut) = (0, 0);
         self.next = self.back_off[0];
@@ -187,28 +196,28 @@
 
     /// A list has begun, the first of its watch or a further one. That it goes on is no sign of life: a list that
     /// never ends tells nothing.
-    pub fn begun(&mut self, now: Time, first: bool) {
+    pub fn list_started(&mut self, now: Time, first: bool) {
         self.phase = match self.phase {
-            Phase::FirstList(_) | Phase::List(_) => return,
-            _ if first => Phase::FirstList(now),
-            _ => Phase::List(now),
+            Phase::ReadingFirstList(_) | Phase::ReadingList(_) => return,
+            _ if first => Phase::ReadingFirstList(now),
+            _ => Phase::ReadingList(now),
         };
     }
 
     /// Whether the watch has to be given up: its call was not answered, or it has fallen silent.
-    pub fn is_over(&self, now: Time) -> bool {
+    pub fn is_timed_out(&self, now: Time) -> bool {
         !matches!(self.phase, Phase::Waiting(_)) && now >= self.due()
     }
 
     /// The watch has ended, or was given up: the next call is drawn.
-    pub fn ended(&mut self, now: Time) {
-        let stood = matches!(self.phase, Phase::Open(_) | Phase::List(_));
-        self.cut += u32::from(matches!(self.phase, Phase::FirstList(_)));
+    pub fn watch_ended(&mut self, now: Time) {
+        let stood = matches!(self.phase, Phase::Open(_) | Phase::ReadingList(_));
+        self.cut += u32::from(matches!(self.phase, Phase::ReadingFirstList(_)));
         self.failed = if stood { 0 } else { self.failed.saturating_add(1) };
         // Until a call after a watch has failed, discovery may have had a change since the watch's last word; after that
         // it was out of reach until the last call at the least.
         let gone = now.since(self.heard.filter(|_| self.failed <= 1).unwrap_or(self.asked));
-        let left = (COUNTS_AS_TOLD - MARGIN - CALL).saturating_sub(gone);
+        let left = (DELIVERY_DEADLINE - MARGIN - CALL).saturating_sub(gone);
         let wait = match self.source {
             Source::Agent { grace } => self.drawn((grace / GRACE_AGAIN).min(AGAIN[1])).max(AGAIN[0]),
             // What it misses is about to count as told: it can't wait for a back-off.
@@ -226,7 +235,7 @@
     }
 
     /// Discovery is elsewhere from now on: it is asked at once.
-    pub fn moved(&mut self) {
+    pub fn address_changed(&mut self) {
         (self.failed, self.cut, self.next) = (0, 0, self.back_off[0]);
         self.phase = Phase::Waiting(Time(0));
     }
--- a/crates/discovery/src/pace/tests.rs
+++ b/crates/discovery/src/schedule/tests.rs
@@ -11,15 +11,18 @@
 /// watches fell silent at the begin; else they start then.
 fn herd(brokers: u32, rate: f64, silent: bool) -> (Vec<f64>, Vec<f64>) {
     let start = |n| {
-        let mut pace = Pace::new(Time(0), Source::Shared { brokers }, u64::from(n));
+        let mut pace = CallSchedule::new(Time(0), Source::Shared { brokers }, u64::from(n));
         if silent {
-            pace.heard(Time(0));
-            assert!(!pace.is_over(Time(0).after(SILENCE - ms(1))) && pace.is_over(Time(0).after(SILENCE)));
-            pace.ended(Time(0).after(SILENCE));
+            pace.received(Time(0));
+            assert!(
+                !pace.is_timed_out(Time(0).after(WATCH_TIMEOUT - ms(1)))
+                    && pace.is_timed_out(Time(0).after(WATCH_TIMEOUT))
+            );
+            pace.watch_ended(Time(0).after(WATCH_TIMEOUT));
         }
         pace
     };
-    let mut paces: Vec<Pace> = (0..brokers).map(start).collect();
+    let mut paces: Vec<CallSchedule> = (0..brokers).map(start).collect();
     let seconds = |time: Time| time.since(Time(0)).as_secs_f64();
     let mut calls: Vec<(f64, usize)> = paces.iter().enumerate().map(|(n, p)| (seconds(p.due()), n)).collect();
     let (mut free_at, mut made, mut told) = (0.0_f64, Vec::new(), Vec::new());
@@ -32,8 +35,8 @@
             told.push(done);
         } else {
             let failed = Time(((at + 2.0) * 1e9) as u64);
-            paces[broker].asked(Time((at * 1e9) as u64));
-            paces[broker].ended(failed);
+            paces[broker].call_started(Time((at * 1e9) as u64));
+            paces[broker].watch_ended(failed);
             calls.push((seconds(paces[broker].due()), broker));
         }
     }
@@ -52,7 +55,7 @@
         assert_eq!(told.len(), brokers as usize);
         // Where discovery takes longer for all than a change may take to be told, no wait may be longer either, and a
         // broker whose turn comes last has asked more often.
-        let most = if Duration::from_secs(u64::from(brokers) / 20) <= COUNTS_AS_TOLD { 2.0 } else { 2.2 };
+        let most = if Duration::from_secs(u64::from(brokers) / 20) <= DELIVERY_DEADLINE { 2.0 } else { 2.2 };
         assert!(made.len() as f64 <= most * told.len() as f64, "{} calls for {brokers} lists", made.len());
     }
 }
@@ -65,10 +68,10 @@
     for brokers in [1, 30, 100, 300] {
         let (made, told) = herd(brokers, f64::from(brokers).max(30.0), true);
         let last = told.iter().copied().fold(0.0, f64::max);
-        assert!(last < COUNTS_AS_TOLD.as_secs_f64(), "{brokers}: {last} s");
+        assert!(last < DELIVERY_DEADLINE.as_secs_f64(), "{brokers}: {last} s");
         assert_eq!(made.len(), told.len(), "{brokers}: none is turned away");
-        let worst = SILENCE + AFTER_WATCH + CALL;
-        assert!(worst <= COUNTS_AS_TOLD, "{worst:?}");
+        let worst = WATCH_TIMEOUT + AFTER_WATCH + CALL;
+        assert!(worst <= DELIVERY_DEADLINE, "{worst:?}");
     }
 }
 
@@ -79,25 +82,25 @@
     for (grace, seed) in [(ms(250), 1), (ms(250), 2), (ms(2000), 3), (ms(2000), 4), (ms(100), 5)] {
         let source = Source::Agent { grace };
         for back in [3, 70, 1111, 2500, 9973] {
-            let mut pace = Pace::new(Time(0), source, seed);
+            let mut pace = CallSchedule::new(Time(0), source, seed);
             let back = Time(back * MS);
             // Each call while it is away stays unanswered; each one after that is answered at once.
             let told = loop {
                 let at = pace.due();
-                assert!(pace.may_ask(at));
-                pace.asked(at);
+                assert!(pace.is_call_due(at));
+                pace.call_started(at);
                 if at >= back {
                     break at;
                 }
-                assert!(pace.is_over(pace.due()) && !pace.is_over(pace.due().before(ms(1))));
-                pace.ended(pace.due());
+                assert!(pace.is_timed_out(pace.due()) && !pace.is_timed_out(pace.due().before(ms(1))));
+                pace.watch_ended(pace.due());
             };
             assert!(told.since(back) < grace, "{grace:?}, back at {back:?}: met at {told:?}");
         }
         // A watch that ends while the agent stands is opened anew at once.
-        let mut pace = Pace::new(Time(0), source, seed);
-        pace.heard(Time(MS));
-        pace.ended(Time(2 * MS));
+        let mut pace = CallSchedule::new(Time(0), source, seed);
+        pace.received(Time(MS));
+        pace.watch_ended(Time(2 * MS));
         assert!(pace.due().since(Time(2 * MS)) < grace / 4);
     }
 }
@@ -105,27 +108,27 @@
 // Guards the few: one broker, or three, ask as soon as they always did; nor does a pushed list wait.
 #[test]
 fn few_brokers_ask_at_once() {
-    let first = |source| Pace::new(Time(0), source, 7).due();
+    let first = |source| CallSchedule::new(Time(0), source, 7).due();
     assert_eq!(first(Source::Shared { brokers: 1 }), Time(0));
     assert_eq!(first(Source::Agent { grace: ms(250) }), Time(0));
     assert!(first(Source::Shared { brokers: 3 }) <= Time(40 * MS));
-    let mut many = Pace::new(Time(0), Source::Shared { brokers: u32::MAX }, 7);
+    let mut many = CallSchedule::new(Time(0), Source::Shared { brokers: u32::MAX }, 7);
     assert!(many.due() > Time(0));
-    many.asked(Time(1));
-    many.ended(Time(2));
+    many.call_started(Time(1));
+    many.watch_ended(Time(2));
     assert!(many.due() > Time(2));
-    let mut moved = Pace::new(Time(0), Source::Shared { brokers: 300 }, 7);
-    moved.moved();
-    assert!(moved.may_ask(Time(0)));
+    let mut moved = CallSchedule::new(Time(0), Source::Shared { brokers: 300 }, 7);
+    moved.address_changed();
+    assert!(moved.is_call_due(Time(0)));
 }
 
 // Guards the time in which a broker serves nobody: a silent agent holds it up for a moment, and a discovery that
 // is shared does not.
 #[test]
 fn the_first_list_is_waited_for_no_longer_than_it_helps() {
-    assert_eq!(Source::Agent { grace: ms(250) }.first_list(), ms(125));
-    assert_eq!(Source::Agent { grace: ms(2000) }.first_list(), ms(250));
-    assert_eq!(Source::Shared { brokers: 300 }.first_list(), Duration::ZERO);
+    assert_eq!(Source::Agent { grace: ms(250) }.first_list_timeout(), ms(125));
+    assert_eq!(Source::Agent { grace: ms(2000) }.first_list_timeout(), ms(250));
+    assert_eq!(Source::Shared { brokers: 300 }.first_list_timeout(), Duration::ZERO);
 }
 
 /// How a call goes wrong: it is turned away at once, nobody answers, or its list begins and stops.
@@ -137,21 +140,21 @@
 }
 
 /// Makes the call that is due, and has it fail.
-fn fail(pace: &mut Pace, how: Fails) {
+fn fail(pace: &mut CallSchedule, how: Fails) {
     let at = pace.due();
-    assert!(pace.may_ask(at));
-    pace.asked(at);
+    assert!(pace.is_call_due(at));
+    pace.call_started(at);
     let ended = match how {
         Fails::Refused => at,
         Fails::Unanswered => pace.due(),
         Fails::Cut => {
-            pace.begun(at, true);
+            pace.list_started(at, true);
             // More of it is no sign of life.
-            pace.begun(pace.due().before(ms(1)), true);
+            pace.list_started(pace.due().before(ms(1)), true);
             pace.due()
         }
     };
-    pace.ended(ended);
+    pace.watch_ended(ended);
 }
 
 const SOURCES: [Source; 9] = [
@@ -174,9 +177,9 @@
         for (seed, how) in
             (0..40).flat_map(|s| [Fails::Refused, Fails::Unanswered, Fails::Cut].map(|how| (s, how)))
         {
-            let mut pace = Pace::new(Time(0), source, seed);
-            pace.heard(Time(0));
-            pace.ended(Time(MS));
+            let mut pace = CallSchedule::new(Time(0), source, seed);
+            pace.received(Time(0));
+            pace.watch_ended(Time(MS));
             for before in 0..12 {
                 // It can be reached from the moment on in which this call was made, and the call fails all the same.
                 let back = pace.due();
@@ -184,7 +187,7 @@
                 fail(&mut last, how);
                 let told = last.due().after(CALL);
                 assert!(
-                    told.since(back) <= COUNTS_AS_TOLD,
+                    told.since(back) <= DELIVERY_DEADLINE,
                     "{source:?} {how:?} {before}: {:?}",
                     told.since(back)
                 );
@@ -198,28 +201,28 @@
 // too: the call after that has a second and more for its answer within the 6 s. The sums of the constants say so.
 #[test]
 fn a_watch_and_the_next_call_may_fail_within_the_six_seconds() {
-    let worst = SILENCE + AFTER_WATCH + FIRST_CALL + BACK_OFF[0];
-    assert!(worst + Duration::from_secs(1) <= COUNTS_AS_TOLD, "{worst:?}");
-    assert!(SILENCE + LIST + AFTER_WATCH + FIRST_CALL <= COUNTS_AS_TOLD);
+    let worst = WATCH_TIMEOUT + AFTER_WATCH + FIRST_CALL + BACK_OFF[0];
+    assert!(worst + Duration::from_secs(1) <= DELIVERY_DEADLINE, "{worst:?}");
+    assert!(WATCH_TIMEOUT + LIST + AFTER_WATCH + FIRST_CALL <= DELIVERY_DEADLINE);
     for source in SOURCES {
         for (seed, how) in (0..40).flat_map(|s| [Fails::Refused, Fails::Unanswered].map(|how| (s, how))) {
-            let mut pace = Pace::new(Time(0), source, seed);
-            pace.heard(Time(MS));
+            let mut pace = CallSchedule::new(Time(0), source, seed);
+            pace.received(Time(MS));
             let silent = Time(MS);
             let over = pace.due();
-            assert!(pace.is_over(over) && over.since(silent) == SILENCE);
-            pace.ended(over);
+            assert!(pace.is_timed_out(over) && over.since(silent) == WATCH_TIMEOUT);
+            pace.watch_ended(over);
             fail(&mut pace, how);
             let told = pace.due().after(Duration::from_secs(1));
-            assert!(told.since(silent) <= COUNTS_AS_TOLD, "{source:?} {how:?}: {:?}", told.since(silent));
+            assert!(told.since(silent) <= DELIVERY_DEADLINE, "{source:?} {how:?}: {:?}", told.since(silent));
             // One that stops in the middle of a list is given up, however long its bytes trickle in.
-            let mut pace = Pace::new(Time(0), source, seed);
-            pace.heard(Time(0));
-            pace.begun(Time(0).after(SILENCE).before(ms(1)), false);
-            pace.begun(pace.due().before(ms(1)), false);
-            pace.ended(pace.due());
+            let mut pace = CallSchedule::new(Time(0), source, seed);
+            pace.received(Time(0));
+            pace.list_started(Time(0).after(WATCH_TIMEOUT).before(ms(1)), false);
+            pace.list_started(pace.due().before(ms(1)), false);
+            pace.watch_ended(pace.due());
             let told = pace.due().after(FIRST_CALL);
-            assert!(told.since(Time(0)) <= COUNTS_AS_TOLD, "{source:?}: {:?}", told.since(Time(0)));
+            assert!(told.since(Time(0)) <= DELIVERY_DEADLINE, "{source:?}: {:?}", told.since(Time(0)));
         }
     }
 }
@@ -227,17 +230,17 @@
 // Guards long lists on a slow way: a first list that is cut again and again gets more time with each call.
 #[test]
 fn a_first_list_that_takes_long_gets_more_time() {
-    let mut pace = Pace::new(Time(0), Source::Agent { grace: ms(250) }, 1);
+    let mut pace = CallSchedule::new(Time(0), Source::Agent { grace: ms(250) }, 1);
     let mut limits = Vec::new();
     for _ in 0..6 {
-        pace.asked(pace.due());
+        pace.call_started(pace.due());
         let begun = pace.due().before(ms(1));
-        pace.begun(begun, true);
+        pace.list_started(begun, true);
         limits.push(pace.due().since(begun));
-        pace.ended(pace.due());
+        pace.watch_ended(pace.due());
     }
     assert_eq!(limits, [125, 250, 500, 1000, 2000, 2000].map(ms));
-    pace.asked(pace.due());
-    pace.heard(pace.due());
+    pace.call_started(pace.due());
+    pace.received(pace.due());
     assert_eq!((pace.failed, pace.cut), (0, 0));
 }
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -8,9 +8,9 @@
 use badgergauge_net::http::ChunkedDecoder;
 use badgergauge_net::outbox::Outbox;
 
-use crate::list::{ListError, Listing, MAX_LIST, Values};
-use crate::pace::{Pace, Phase};
-use crate::register::Register;
+use crate::list::{ListDecoder, ListError, MAX_LIST_BYTES, ServerList};
+use crate::registry::ServerRegistry;
+use crate::schedule::{CallSchedule, Phase};
 
 /// Reads of one turn.
 const READS: usize = 16;
@@ -20,19 +20,19 @@
 pub enum WatchError {
     /// It has brought nothing for too long.
     #[error("silent: look whether discovery still runs and can be reached from here")]
-    Silent,
+    Unresponsive,
     /// Its call was not answered in time.
     #[error("no answer: look whether discovery still runs and can be reached from here")]
-    NoAnswer,
+    NoResponse,
     /// The answer is another one than a watch's.
     #[error("{0}: look whether the address is that of discovery")]
-    Answer(String),
+    UnexpectedResponse(String),
     /// What it brought is no list.
     #[error(transparent)]
     List(#[from] ListError),
     /// Its connection ended, or never came up.
     #[error("{0}: look whether discovery runs at the address in the configuration")]
-    Lost(#[from] io::Error),
+    ConnectionLost(#[from] io::Error),
 }
 
 /// A watch on discovery.
@@ -40,9 +40,9 @@
     address: SocketAddr,
     clock: Clock,
     /// The list in hand.
-    register: Register,
+    registry: ServerRegistry,
     link: Option<Link>,
-    pace: Pace,
+    schedule: CallSchedule,
     /// Whether discovery has given any list yet.
     told: bool,
 }
@@ -53,7 +53,7 @@
     connected: bool,
     bytes: Vec<u8>,
     body: Body,
-    values: Values,
+    decoder: ListDecoder,
     /// Whether it has brought a list: what comes behind that is told as it changes.
     stands: bool,
 }
@@ -70,21 +70,26 @@
 
 /// A list that a watch has brought.
 #[derive(Debug)]
-pub struct Told {
+pub struct ListUpdate {
     /// The list.
-    pub list: Listing,
+    pub list: ServerList,
     /// Whether it was told as it came; the first one of a watch may hold what counts as told for long.
-    pub at_once: bool,
+    pub is_live: bool,
 }
 
 impl Watch {
     /// A watch that goes on from a list.
-    pub fn new(address: SocketAddr, known: Option<&Listing>, clock: Clock, pace: Pace) -> Self {
-        let mut register = Register::default();
+    pub fn new(
+        address: SocketAddr,
+        known: Option<&ServerList>,
+        clock: Clock,
+        schedule: CallSchedule,
+    ) -> Self {
+        let mut registry = ServerRegistry::default();
         if let Some(known) = known {
-            register.take(clock.now(), known.clone());
+            registry.apply(clock.now(), known.clone());
         }
-        Watch { address, clock, register, link: None, pace, told: false }
+        Watch { address, clock, registry, link: None, schedule, told: false }
     }
 
     /// Where it leads.
@@ -93,27 +98,27 @@
     }
 
     /// The list in hand, whole.
-    pub fn listing(&self) -> Listing {
-        self.register.listing()
+    pub fn server_list(&self) -> ServerList {
+        self.registry.server_list()
     }
 
     /// Whether discovery has given any list since the start.
-    pub fn has_told(&self) -> bool {
+    pub fn has_received_list(&self) -> bool {
         self.told
     }
 
     /// Leads it elsewhere, from the version in hand, at once. Gives the socket of the old connection for
     /// the poller to forget.
-    pub fn move_to(&mut self, address: SocketAddr) -> Option<TcpStream> {
+    pub fn set_address(&mut self, address: SocketAddr) -> Option<TcpStream> {
         self.address = address;
-        self.pace.moved();
-        self.register.ended();
+        self.schedule.address_changed();
+        self.registry.watch_ended();
         self.link.take().map(|link| link.stream)
     }
 
     /// Where it stands.
     pub fn phase(&self) -> Phase {
-        self.pace.phase()
+        self.schedule.phase()
     }
 
     /// The socket, while there is one.
@@ -128,12 +133,12 @@
 
     /// When silence or a new connection is to be looked at, at the latest.
     pub fn due(&self) -> Time {
-        self.register.due().into_iter().fold(self.pace.due(), Time::min)
+        self.registry.due().into_iter().fold(self.schedule.due(), Time::min)
     }
 
     /// A list that was set aside as it was older than the one in hand, once it must be what discovery has.
-    pub fn believe(&mut self, now: Time) -> Option<Listing> {
-        self.register.believe(now)
+    pub fn accept_older_list(&mut self, now: Time) -> Option<ServerList> {
+        self.registry.accept_older(now)
     }
 
     /// Begins a connection if one is due.
@@ -142,41 +147,41 @@
     ///
     /// When none could be begun; the next call comes when it is [`Watch::due`].
     pub fn connect(&mut self, now: Time) -> Result<bool, WatchError> {
-        if self.link.is_some() || !self.pace.may_ask(now) {
+        if self.link.is_some() || !self.schedule.is_call_due(now) {
             return Ok(false);
         }
-        self.pace.asked(now);
+        self.schedule.call_started(now);
         let stream = match badgergauge_net::connect(self.address) {
             Ok(stream) => stream,
             Err(error) => {
-                self.pace.ended(now);
+                self.schedule.watch_ended(now);
                 return Err(error.into());
             }
         };
         let mut request = Outbox::default();
-        let line = format!("GET /discovery/hosts?stream=1&index={} HTTP/1.1\r\n", self.register.index());
+        let line = format!("GET /discovery/hosts?stream=1&index={} HTTP/1.1\r\n", self.registry.index());
         request.push(line.into_bytes());
         request.push(format!("Host: {}\r\nAccept: application/json\r\n\r\n", self.address).into_bytes());
-        let (bytes, values) = (Vec::new(), Values::default());
+        let (bytes, decoder) = (Vec::new(), ListDecoder::default());
         let body = Body::Head;
-        self.link = Some(Link { stream, request, connected: false, bytes, body, values, stands: false });
+        self.link = Some(Link { stream, request, connected: false, bytes, body, decoder, stands: false });
         Ok(true)
     }
 
     /// Why the watch is to be given up, if it is: nothing has come for too long.
-    pub fn is_over(&self, now: Time) -> Option<WatchError> {
-        let why = match self.pace.phase() {
-            Phase::Open(_) | Phase::List(_) => WatchError::Silent,
-            _ => WatchError::NoAnswer,
+    pub fn timeout_error(&self, now: Time) -> Option<WatchError> {
+        let why = match self.schedule.phase() {
+            Phase::Open(_) | Phase::ReadingList(_) => WatchError::Unresponsive,
+            _ => WatchError::NoResponse,
         };
-        self.pace.is_over(now).then_some(why)
+        self.schedule.is_timed_out(now).then_some(why)
     }
 
     /// Gives up the connection, and gives its socket for the poller to forget. The last list stays valid.
-    pub fn drop_link(&mut self, now: Time) -> Option<TcpStream> {
+    pub fn disconnect(&mut self, now: Time) -> Option<TcpStream> {
         let link = self.link.take()?;
-        self.pace.ended(now);
-        self.register.ended();
+        self.schedule.watch_ended(now);
+        self.registry.watch_ended();
         Some(link.stream)
     }
 
@@ -184,8 +189,8 @@
     ///
     /// # Errors
     ///
-    /// When the connection has ended or is of no use; [`Watch::drop_link`] follows.
-    pub fn ready(&mut self, now: Time, lists: &mut Vec<Told>) -> Result<(), WatchError> {
+    /// When the connection has ended or is of no use; [`Watch::disconnect`] follows.
+    pub fn on_ready(&mut self, now: Time, lists: &mut Vec<ListUpdate>) -> Result<(), WatchError> {
         let Some(link) = &mut self.link else { return Ok(()) };
         if !link.connected {
             link.connected = badgergauge_net::is_connected(&link.stream)?;
@@ -205,23 +210,23 @@
             };
             link.bytes.extend_from_slice(&buffer[..read]);
             let text = link.take_text()?;
-            link.values.push(&text);
+            link.decoder.push(&text);
             let mut whole = false;
-            while let Some(list) = link.values.next(&self.clock)? {
+            while let Some(list) = link.decoder.next_list(&self.clock)? {
                 whole = true;
                 self.told = true;
-                let older = list.index < self.register.index();
-                let at_once = std::mem::replace(&mut link.stands, true) && !older;
-                let list = self.register.take(now, list);
-                lists.push(Told { list, at_once });
+                let older = list.index < self.registry.index();
+                let is_live = std::mem::replace(&mut link.stands, true) && !older;
+                let list = self.registry.apply(now, list);
+                lists.push(ListUpdate { list, is_live });
             }
             // What is left of a list says nothing of the next: only what is whole does.
-            let begun = link.values.held() > 0;
+            let begun = link.decoder.buffered_bytes() > 0;
             if whole || !(begun || matches!(link.body, Body::Head)) {
-                self.pace.heard(now);
+                self.schedule.received(now);
             }
             if begun {
-                self.pace.begun(now, !link.stands);
+                self.schedule.list_started(now, !link.stands);
             }
             if matches!(&link.body, Body::Chunked(chunks) if chunks.is_done()) {
                 return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
@@ -237,16 +242,17 @@
         if matches!(self.body, Body::Head) {
             let mut headers = [httparse::EMPTY_HEADER; 32];
             let mut response = httparse::Response::new(&mut headers);
-            let parsed =
-                response.parse(&self.bytes).map_err(|error| WatchError::Answer(error.to_string()))?;
+            let parsed = response
+                .parse(&self.bytes)
+                .map_err(|error| WatchError::UnexpectedResponse(error.to_string()))?;
             let httparse::Status::Complete(length) = parsed else {
-                return match self.bytes.len() > MAX_LIST {
-                    true => Err(WatchError::Answer("the head is too long".to_owned())),
+                return match self.bytes.len() > MAX_LIST_BYTES {
+                    true => Err(WatchError::UnexpectedResponse("the head is too long".to_owned())),
                     false => Ok(Vec::new()),
                 };
             };
             if response.code != Some(200) {
-                return Err(WatchError::Answer(format!("status {}", response.code.unwrap_or(0))));
+                return Err(WatchError::UnexpectedResponse(format!("status {}", response.code.unwrap_or(0))));
             }
             let chunked = response.headers.iter().any(|header| {
                 header.name.eq_ignore_ascii_case("transfer-encoding")
@@ -260,9 +266,9 @@
             Body::Head => {}
             Body::Plain => text = std::mem::take(&mut self.bytes),
             Body::Chunked(chunks) => {
-                let used = chunks
-                    .decode(&self.bytes, &mut text)
-                    .map_err(|error| WatchError::Answer(format!("the watch's chunks: {error}")))?;
+                let used = chunks.decode(&self.bytes, &mut text).map_err(|error| {
+                    WatchError::UnexpectedResponse(format!("the watch's chunks: {error}"))
+                })?;
                 self.bytes.drain(..used);
             }
         }
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -25,7 +25,7 @@
 use crate::config::settings::SiteSettings;
 use crate::control::{Endpoint, EndpointConfig, Operations, Statistics};
 use crate::core::{Command, Core};
-use crate::discovery::{Listing, Pace, Source, Watch};
+use crate::discovery::{CallSchedule, ServerList, Source, Watch};
 use crate::front::{Front, Pending};
 use crate::interface::{LoadReport, Time, Verdict};
 use crate::inventory::Inventory;
@@ -156,7 +156,7 @@
             tracing::info!("{} listens to operators on {}", config.name, endpoint.address());
         }
         let mut backend = Backend::new(settings.clone(), backend_links);
-        let known = config.known.take().map(|known| Listing::from_value(&known, &clock)).transpose();
+        let known = config.known.take().map(|known| ServerList::from_value(&known, &clock)).transpose();
         let mut known = known.map_err(|fault| invalid(format!("known.{fault}")))?;
         let folder = is_operated.then(shared_folder).flatten();
         let (mut upgrade, offer) =
@@ -165,7 +165,7 @@
         known = newer_list(known, offer.as_ref(), &clock);
         let store = open_store(&config, clock, &mut known, offer.is_some())?;
         if let Some(list) = &mut known {
-            list.whole = true;
+            list.is_full = true;
             take_list(&mut core, &mut backend, list, None);
         }
         let mut inventory = config.ogc.as_ref().and_then(|ogc| ogc.inventory.clone()).map(Inventory::new);
@@ -179,8 +179,8 @@
             take_list(&mut core, &mut backend, &list, None);
         }
         let watch = config.discovery.filter(|_| inventory.is_none()).map(|at| {
-            let source = Source::of(&settings.router, settings.drain_grace);
-            Watch::new(at, known.as_ref(), clock, Pace::new(clock.now(), source, config.seed))
+            let source = Source::from_settings(&settings.router, settings.drain_grace);
+            Watch::new(at, known.as_ref(), clock, CallSchedule::new(clock.now(), source, config.seed))
         });
         let peers = config
             .peers
@@ -253,7 +253,7 @@
         let ready = broker.net.clock.now();
         broker.heed_drain(ready);
         broker.show_operators();
-        let told = match broker.watch.as_ref().is_some_and(Watch::has_told) {
+        let told = match broker.watch.as_ref().is_some_and(Watch::has_received_list) {
             true => "told",
             false if broker.core.can_serve() => "the one of old",
             false => "none: not ready",
@@ -271,9 +271,9 @@
     /// Waits for the first list, a moment at the most. What discovery's agent has counts as told from the process's
     /// first moment, and the list of old may call a server sound that drains or is gone: clients come after it.
     fn await_list(&mut self) -> io::Result<()> {
-        let source = Source::of(&self.settings.router, self.settings.drain_grace);
-        let until = self.net.clock.now().after(source.first_list());
-        let waits = |broker: &Self| broker.watch.as_ref().is_some_and(|watch| !watch.has_told());
+        let source = Source::from_settings(&self.settings.router, self.settings.drain_grace);
+        let until = self.net.clock.now().after(source.first_list_timeout());
+        let waits = |broker: &Self| broker.watch.as_ref().is_some_and(|watch| !watch.has_received_list());
         let (mut ready, mut due) = (Vec::new(), Vec::new());
         while waits(self) && !self.lifecycle.is_stopping() && self.net.clock.now() < until {
             self.turn(&mut ready, &mut due, Some(until))?;
--- a/src/broker/discovery.rs
+++ b/src/broker/discovery.rs
@@ -4,7 +4,7 @@
 use super::WATCH;
 use crate::backend::Backend;
 use crate::core::Core;
-use crate::discovery::{Listing, Phase, Told, Watch, WatchError};
+use crate::discovery::{ListUpdate, Phase, ServerList, Watch, WatchError};
 use crate::interface::{ServerState, Time};
 use crate::net::TimerEvent;
 
@@ -14,11 +14,11 @@
 
 impl Broker {
     pub(super) fn tend_watch(&mut self, now: Time) {
-        if let Some(error) = self.watch.as_ref().and_then(|watch| watch.is_over(now)) {
+        if let Some(error) = self.watch.as_ref().and_then(|watch| watch.timeout_error(now)) {
             self.end_watch(now, &error);
         }
         let Some(watch) = &mut self.watch else { return };
-        if let Some(list) = watch.believe(now) {
+        if let Some(list) = watch.accept_older_list(now) {
             self.take_told(now, &list, None);
         }
         let Some(watch) = &mut self.watch else { return };
@@ -37,11 +37,11 @@
     pub(super) fn watch_ready(&mut self, now: Time) {
         let Some(watch) = &mut self.watch else { return };
         let mut lists = Vec::new();
-        let result = watch.ready(now, &mut lists);
-        for Told { list, at_once } in lists {
+        let result = watch.on_ready(now, &mut lists);
+        for ListUpdate { list, is_live } in lists {
             // It came since the loop last looked, and may have waited for that long.
             let until = self.looked.after(self.settings.drain_grace / DRAIN_PART);
-            self.take_told(now, &list, Some(until).filter(|until| at_once && *until > now));
+            self.take_told(now, &list, Some(until).filter(|until| is_live && *until > now));
         }
         let Some(watch) = &mut self.watch else { return };
         match (result, watch.stream()) {
@@ -55,7 +55,7 @@
     }
 
     /// Takes a list that discovery has told; those that drain in it may be sent to until then, if at all.
-    pub(super) fn take_told(&mut self, now: Time, list: &Listing, until: Option<Time>) {
+    pub(super) fn take_told(&mut self, now: Time, list: &ServerList, until: Option<Time>) {
         take_list(&mut self.core, &mut self.backend, list, until);
         let draining = list.members.iter().filter(|(member, _)| member.state == ServerState::Draining);
         for (member, _) in draining {
@@ -78,10 +78,10 @@
     }
 
     pub(super) fn end_watch(&mut self, now: Time, why: &WatchError) {
-        let stood = |watch: &Watch| matches!(watch.phase(), Phase::Open(_) | Phase::List(_));
+        let stood = |watch: &Watch| matches!(watch.phase(), Phase::Open(_) | Phase::ReadingList(_));
         self.watch_away &= !self.watch.as_ref().is_some_and(stood);
         self.watch_failed(why);
-        if let Some(stream) = self.watch.as_mut().and_then(|watch| watch.drop_link(now)) {
+        if let Some(stream) = self.watch.as_mut().and_then(|watch| watch.disconnect(now)) {
             self.net.poll.remove(&stream);
         }
         self.core.servers_failed();
@@ -100,9 +100,9 @@
 }
 
 /// Gives a list to the core, and its addresses to the connections.
-pub(super) fn take_list(core: &mut Core, backend: &mut Backend, list: &Listing, until: Option<Time>) {
+pub(super) fn take_list(core: &mut Core, backend: &mut Backend, list: &ServerList, until: Option<Time>) {
     let members: Vec<_> = list.members.iter().map(|(member, _)| member.clone()).collect();
-    for server in core.apply_server_list(list.whole, list.index, &members, until) {
+    for server in core.apply_server_list(list.is_full, list.index, &members, until) {
         backend.shut(server);
     }
     let (up, draining) = core.server_counts();
--- a/src/broker/signals.rs
+++ b/src/broker/signals.rs
@@ -71,7 +71,7 @@
         if let Some(store) = &mut self.store {
             store.moved(address);
         }
-        if let Some(stream) = watch.move_to(address) {
+        if let Some(stream) = watch.set_address(address) {
             self.net.poll.remove(&stream);
         }
         self.tend_watch(now);
--- a/src/broker/upgrade.rs
+++ b/src/broker/upgrade.rs
@@ -7,7 +7,7 @@
 
 use super::{Broker, OGC_LISTEN, PEERS};
 use crate::config::Config;
-use crate::discovery::{Listing, Watch};
+use crate::discovery::{ServerList, Watch};
 use crate::handover::{ClientLimits, Offer, PredecessorAction, SocketRole, joint_client_limits};
 use crate::interface::Time;
 use crate::net::clock::Clock;
@@ -44,7 +44,7 @@
             roles.push(SocketRole::Peers);
             sockets.push(socket.as_fd());
         }
-        let list = self.watch.as_ref().map(|watch| watch.listing().to_value(&self.net.clock).to_string());
+        let list = self.watch.as_ref().map(|watch| watch.server_list().to_value(&self.net.clock).to_string());
         let offer = Offer { roles, clients: self.clients.len(), snapshot, list };
         upgrade.offer(&self.net, offer, &sockets);
         self.most_clients = self.most_clients.min(limits.predecessor);
@@ -121,13 +121,13 @@
         if self.store.is_some() {
             return;
         }
-        let mut known = self.watch.as_ref().map(Watch::listing);
+        let mut known = self.watch.as_ref().map(Watch::server_list);
         match StateStore::open(&self.config, self.net.clock, &mut known) {
             Ok(store) => self.store = store,
             Err(error) => tracing::warn!("upgrade: {error}: nothing is stored until the next start"),
         }
         if let (Some(store), Some(watch)) = (&mut self.store, &self.watch) {
-            store.note(&watch.listing());
+            store.note(&watch.server_list());
         }
     }
 
@@ -165,10 +165,14 @@
 
 /// The list that a process starts with: its own, or its predecessor's where that is no older. Discovery may be away when
 /// the process starts, and its own list of old may call a server sound that the predecessor was told to drain.
-pub(super) fn newer_list(known: Option<Listing>, offer: Option<&Offer>, clock: &Clock) -> Option<Listing> {
+pub(super) fn newer_list(
+    known: Option<ServerList>,
+    offer: Option<&Offer>,
+    clock: &Clock,
+) -> Option<ServerList> {
     let Some(list) = offer.and_then(|offer| offer.list.as_deref()) else { return known };
     let value = serde_json::from_str::<Value>(list).map_err(|error| error.to_string());
-    match value.and_then(|value| Listing::from_value(&value, clock).map_err(|error| error.to_string())) {
+    match value.and_then(|value| ServerList::from_value(&value, clock).map_err(|error| error.to_string())) {
         Ok(list) if known.as_ref().is_none_or(|known| list.index >= known.index) => Some(list),
         Ok(_) => known,
         Err(error) => {
@@ -183,7 +187,7 @@
 pub(super) fn open_store(
     config: &Config,
     clock: Clock,
-    known: &mut Option<Listing>,
+    known: &mut Option<ServerList>,
     takes_over: bool,
 ) -> io::Result<Option<StateStore>> {
     match StateStore::open(config, clock, known) {
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -12,7 +12,7 @@
 
 use crate::config::ogc::plain;
 use crate::core::Member;
-use crate::discovery::Listing;
+use crate::discovery::ServerList;
 use crate::interface::{ServerState, Time};
 
 /// What is wrong with an inventory, and where.
@@ -251,7 +251,7 @@
     /// # Errors
     ///
     /// When it can't be used; the last list stays valid.
-    pub fn reread(&mut self, now: Time) -> Result<Option<Listing>, InventoryError> {
+    pub fn reread(&mut self, now: Time) -> Result<Option<ServerList>, InventoryError> {
         let lost = |error: std::io::Error| InventoryError {
             file: self.path.display().to_string(),
             line: 0,
@@ -278,6 +278,6 @@
         }
         self.started = started;
         self.readings += 1;
-        Ok(Some(Listing { index: self.readings, whole: true, members }))
+        Ok(Some(ServerList { index: self.readings, is_full: true, members }))
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -14,7 +14,7 @@
 
 use crate::config::Config;
 use crate::core::Member;
-use crate::discovery::Listing;
+use crate::discovery::ServerList;
 use crate::interface::ServerState;
 use crate::net::clock::Clock;
 
@@ -65,7 +65,7 @@
 pub fn beliefs(
     clock: &Clock,
     discovery: &str,
-    known: Option<&Listing>,
+    known: Option<&ServerList>,
     stored: &StoredState,
 ) -> Result<BTreeMap<String, Resolution>, String> {
     let members = known.map_or(&[][..], |list| &list.members);
@@ -81,11 +81,11 @@
 /// The list as it is believed.
 fn believed(
     clock: &Clock,
-    known: Option<Listing>,
+    known: Option<ServerList>,
     beliefs: &BTreeMap<String, Resolution>,
     stored: &StoredState,
-) -> Listing {
-    let known = known.unwrap_or(Listing { index: 0, whole: true, members: Vec::new() });
+) -> ServerList {
+    let known = known.unwrap_or(ServerList { index: 0, is_full: true, members: Vec::new() });
     let mut members: BTreeMap<String, (Member, Option<SocketAddr>)> =
         known.members.into_iter().map(|line| (line.0.name.clone(), line)).collect();
     for (name, belief) in beliefs.iter().filter(|(_, belief)| belief.from_store) {
@@ -103,7 +103,7 @@
         let member = Member { name: name.clone(), zone, cell, state, started };
         members.insert(name.clone(), (member, server.address));
     }
-    Listing { members: members.into_values().collect(), ..known }
+    ServerList { members: members.into_values().collect(), ..known }
 }
 
 impl StateStore {
@@ -113,7 +113,7 @@
     /// # Errors
     ///
     /// When another process has the store open, or none can be made.
-    pub fn open(config: &Config, clock: Clock, known: &mut Option<Listing>) -> io::Result<Option<Self>> {
+    pub fn open(config: &Config, clock: Clock, known: &mut Option<ServerList>) -> io::Result<Option<Self>> {
         let (Some(path), Some(discovery)) = (&config.service.store, config.discovery) else {
             return Ok(None);
         };
@@ -165,7 +165,7 @@
     }
 
     /// Notes a list of discovery's.
-    pub fn note(&mut self, list: &Listing) {
+    pub fn note(&mut self, list: &ServerList) {
         let noted_ms = unix_ms();
         let mut changes = BTreeMap::new();
         let mut here = BTreeSet::new();
@@ -183,7 +183,7 @@
             }
             changes.insert(member.name.clone(), Some(server));
         }
-        if list.whole {
+        if list.is_full {
             // A whole list tells by leaving out: whatever process an older list may name, it is not there.
             for name in self.listed.difference(&here).cloned().collect::<Vec<_>>() {
                 let (zone, address) = (String::new(), None);
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -20,16 +20,16 @@
         listed: BTreeSet::new(),
         gone: VecDeque::new(),
     };
-    let whole = |index, members| Listing { index, whole: true, members };
+    let whole = |index, members| ServerList { index, is_full: true, members };
     keeper.note(&whole(1, vec![member("a", ServerState::Up), member("b", ServerState::Up)]));
     keeper.note(&whole(2, vec![member("a", ServerState::Draining)]));
     let changed = vec![member("c", ServerState::Up)];
-    keeper.note(&Listing { index: 3, whole: false, members: changed });
+    keeper.note(&ServerList { index: 3, is_full: false, members: changed });
     for n in 0..300 {
         let gone = vec![member(&format!("x{n}"), ServerState::Up)];
-        keeper.note(&Listing { index: 4 + n, whole: false, members: gone });
+        keeper.note(&ServerList { index: 4 + n, is_full: false, members: gone });
         let gone = vec![member(&format!("x{n}"), ServerState::Removed)];
-        keeper.note(&Listing { index: 4 + n, whole: false, members: gone });
+        keeper.note(&ServerList { index: 4 + n, is_full: false, members: gone });
     }
     drop(keeper);
     let (_, stored) = Store::open(&path, &owner).expect("opens");
@@ -45,9 +45,9 @@
 #[test]
 fn the_list_at_the_start_is_as_it_is_believed() {
     let clock = Clock::start();
-    let known = Listing {
+    let known = ServerList {
         index: 3,
-        whole: true,
+        is_full: true,
         members: vec![
             member("drains", ServerState::Up),
             member("gone", ServerState::Up),
