--- a/crates/handover/src/channel.rs
+++ b/crates/handover/src/channel.rs
@@ -1,4 +1,4 @@
-//! Messages and sockets over a Unix socket.
+//! Transfers messages and file descriptors over a Unix socket.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -14,58 +14,58 @@
 
 use crate::message::Message;
 
-/// Longest message that is read: a snapshot of some thousands of servers.
-const MAX_MESSAGE: usize = 4 * 1024 * 1024;
-/// Sockets that travel with one message at the most.
+/// Maximum length of a received message; enough for a snapshot of several thousand servers.
+const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum number of sockets attached to one message.
 const MAX_SOCKETS: usize = 4;
-/// Bytes read at once.
-const READ_BYTES: usize = 64 * 1024;
-/// Length of a message's length.
-const LENGTH_BYTES: usize = 4;
+/// Size of the buffer for a single read.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Size of the length prefix of a message.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Why a channel can't be used any more.
+/// An error after which the channel can't be used any more.
 #[derive(Debug, Error)]
 pub enum ChannelError {
-    /// The other process has ended, or has closed it.
-    #[error("the other process has ended the hand-over")]
+    /// The other process has exited or closed the connection.
+    #[error("the other process has closed the hand-over connection")]
     Closed,
     /// The other process runs as another user.
-    #[error("the other process runs as user {0}: start both as the same user")]
+    #[error("the other process runs as user {0}: start both processes as the same user")]
     OtherUser(u32),
-    /// What came can't be read as a message.
-    #[error("a message can't be read: {0}; the other process may be of another version")]
+    /// A message could not be decoded.
+    #[error("invalid hand-over message: {0}; the other process may be of another version")]
     Malformed(String),
-    /// The system refused to carry it.
+    /// An operation on the connection failed.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
-/// A message and the sockets that came with it.
+/// A received message with its attached sockets.
 #[derive(Debug)]
 pub struct Received {
     /// The message.
     pub message: Message,
-    /// Its sockets.
+    /// The attached sockets.
     pub sockets: Vec<OwnedFd>,
 }
 
-/// A connection between the two processes.
+/// A connection between predecessor and successor.
 #[derive(Debug)]
 pub struct Channel {
     stream: UnixStream,
     incoming: Vec<u8>,
     incoming_sockets: Vec<OwnedFd>,
     outgoing: Vec<u8>,
-    /// Sockets that leave with the next byte.
+    /// Sockets to be attached to the next byte written.
     outgoing_sockets: Vec<OwnedFd>,
 }
 
 impl Channel {
-    /// A channel over a connection, whose other end must be a process of the same user.
+    /// Creates a channel over a connection whose other end must be a process of the same user.
     ///
     /// # Errors
     ///
-    /// When it is not, or can't be told.
+    /// If the other process runs as another user, or its user can't be determined.
     pub fn new(stream: UnixStream) -> Result<Self, ChannelError> {
         let peer = socket_peercred(&stream).map_err(io::Error::from)?;
         if peer.uid != rustix::process::geteuid() {
@@ -75,25 +75,25 @@
         Ok(Channel { stream, incoming, incoming_sockets: Vec::new(), outgoing, outgoing_sockets: Vec::new() })
     }
 
-    /// The connection, to be polled.
+    /// The underlying connection, for registration with a poller.
     pub fn stream(&self) -> &UnixStream {
         &self.stream
     }
 
-    /// Whether anything waits to be written.
+    /// Whether unsent bytes are queued.
     pub fn wants_write(&self) -> bool {
         !self.outgoing.is_empty()
     }
 
-    /// Queues a message with copies of sockets, four at the most, and writes what the connection takes.
+    /// Queues a message with duplicates of up to four sockets, and writes as much as the connection accepts.
     ///
     /// # Errors
     ///
-    /// When the connection has failed.
+    /// If the message is too long, a socket can't be duplicated, or the connection has failed.
     pub fn send(&mut self, message: &Message, sockets: &[BorrowedFd<'_>]) -> Result<(), ChannelError> {
         let json = serde_json::to_vec(message).map_err(|error| ChannelError::Malformed(error.to_string()))?;
         let length =
-            u32::try_from(json.len()).map_err(|_| ChannelError::Malformed("it is too long".to_owned()))?;
+            u32::try_from(json.len()).map_err(|_| ChannelError::Malformed("message too long".to_owned()))?;
         self.outgoing.extend_from_slice(&length.to_be_bytes());
         self.outgoing.extend_from_slice(&json);
         for socket in sockets.iter().take(MAX_SOCKETS) {
@@ -102,14 +102,14 @@
         self.flush()
     }
 
-    /// Writes what the connection takes.
+    /// Writes as many queued bytes as the connection accepts.
     ///
     /// # Errors
     ///
-    /// When the connection has failed.
+    /// If the connection has failed.
     pub fn flush(&mut self) -> Result<(), ChannelError> {
         while !self.outgoing.is_empty() {
-            match self.write_some() {
+            match self.write_once() {
                 Ok(written) => drop(self.outgoing.drain(..written)),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    fn write_some(&mut self) -> io::Result<usize> {
+    fn write_once(&mut self) -> io::Result<usize> {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         let sockets: Vec<BorrowedFd<'_>> = self.outgoing_sockets.iter().map(AsFd::as_fd).collect();
@@ -134,17 +134,17 @@
         Ok(written)
     }
 
-    /// The next message that has come whole; none where the connection has no more to read for now.
+    /// Returns the next complete message, or `None` if more bytes must arrive first.
     ///
     /// # Errors
     ///
-    /// When the connection has ended, or brings what is no message.
+    /// If the connection is closed or has failed, or a message can't be decoded.
     pub fn receive(&mut self) -> Result<Option<Received>, ChannelError> {
         loop {
-            if let Some(message) = self.take_message()? {
+            if let Some(message) = self.decode_message()? {
                 return Ok(Some(Received { message, sockets: std::mem::take(&mut self.incoming_sockets) }));
             }
-            match self.read_some() {
+            match self.read_once() {
                 Ok(0) => return Err(ChannelError::Closed),
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
@@ -157,8 +157,8 @@
         }
     }
 
-    fn read_some(&mut self) -> io::Result<usize> {
-        let mut bytes = vec![0; READ_BYTES];
+    fn read_once(&mut self) -> io::Result<usize> {
+        let mut bytes = vec![0; READ_BUFFER_BYTES];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
         let mut buffers = [IoSliceMut::new(&mut bytes)];
@@ -173,16 +173,20 @@
         Ok(received.bytes)
     }
 
-    fn take_message(&mut self) -> Result<Option<Message>, ChannelError> {
-        let Some((length, rest)) = self.incoming.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    fn decode_message(&mut self) -> Result<Option<Message>, ChannelError> {
+        let Some((length, rest)) = self.incoming.split_first_chunk::<LENGTH_PREFIX_BYTES>() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes(*length) as usize;
-        if length > MAX_MESSAGE {
-            return Err(ChannelError::Malformed(format!("it is {length} bytes long")));
+        if length > MAX_MESSAGE_BYTES {
+            return Err(ChannelError::Malformed(format!(
+                "length of {length} bytes exceeds {MAX_MESSAGE_BYTES}"
+            )));
         }
         let Some(json) = rest.get(..length) else { return Ok(None) };
         let message =
             serde_json::from_slice(json).map_err(|error| ChannelError::Malformed(error.to_string()))?;
-        self.incoming.drain(..LENGTH_BYTES + length);
+        self.incoming.drain(..LENGTH_PREFIX_BYTES + length);
         Ok(Some(message))
     }
 }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,11 +1,13 @@
-//! The hand-over from a running broker process, the predecessor, to one that was started beside it, the successor.
+//! The hand-over from a running broker process, the predecessor, to a new process of the same broker, the
+//! successor.
 //!
-//! The successor connects to a Unix socket of the predecessor's and asks for its listening sockets. Both processes then
-//! accept from the same queues, so that no connection is lost when either ends. The predecessor goes on to accept until
-//! the successor says that it is ready, and accepts again should the successor end before it does.
+//! The successor connects to a Unix socket of the predecessor and requests its listening sockets. Both
+//! processes then share the same accept queues, so that no connection is lost when either of them exits. The
+//! predecessor keeps accepting until the successor reports that it is ready, and resumes accepting if the
+//! successor exits first.
 //!
-//! [`Predecessor`] and [`Successor`] decide, without I/O; [`Channel`] carries [`Message`]s and sockets; [`Rendezvous`] is
-//! the path where the two meet.
+//! [`Predecessor`] and [`Successor`] are state machines without I/O; [`Channel`] transfers [`Message`]s and
+//! file descriptors; [`Rendezvous`] is the path of the Unix socket on which a successor connects.
 #![deny(unsafe_code)]
 
 mod channel;
--- a/crates/handover/src/limits.rs
+++ b/crates/handover/src/limits.rs
@@ -1,22 +1,26 @@
-//! How two processes share the limit on descriptors that holds for both together.
+//! Splits the file descriptor limit between the two processes of a hand-over.
 
-/// Clients' connections that each of the two processes may hold.
+/// Maximum number of client connections of each process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// The predecessor, which accepts no more once the successor is ready.
+    /// Limit of the predecessor, which stops accepting once the successor is ready.
     pub predecessor: usize,
-    /// The successor, until the predecessor has ended.
+    /// Limit of the successor until the predecessor has exited.
     pub successor: usize,
 }
 
-/// A successor may hold so many at the least, or it could not serve.
-const LEAST_CLIENTS: usize = 16;
+/// Lower bound of the successor's limit: with fewer connections it could not serve.
+const MIN_CLIENTS: usize = 16;
 
-/// Splits what may be held together: the predecessor keeps what it holds now or half, whichever is more, and the
-/// successor gets the rest. `fixed` is what each process needs beside its clients.
+/// Splits the descriptors available for client connections: the predecessor gets its current number of
+/// clients or half of the total, whichever is larger, and the successor gets the rest.
+///
+/// `descriptors` is the limit for both processes together, `fixed` the number that each process needs for
+/// purposes other than client connections, and `predecessor_clients` the predecessor's current number of
+/// client connections.
 pub fn joint_client_limits(descriptors: usize, fixed: usize, predecessor_clients: usize) -> ClientLimits {
-    let joint = descriptors.saturating_sub(2 * fixed);
-    let predecessor = predecessor_clients.max(joint / 2);
-    let successor = joint.saturating_sub(predecessor).max(LEAST_CLIENTS);
+    let total = descriptors.saturating_sub(2 * fixed);
+    let predecessor = predecessor_clients.max(total / 2);
+    let successor = total.saturating_sub(predecessor).max(MIN_CLIENTS);
     ClientLimits { predecessor, successor }
 }
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,77 +1,80 @@
-//! What the two processes say to each other, as JSON behind a length of four bytes, most significant first.
+//! The messages between the two processes. Each is sent as JSON, preceded by its length in bytes as a 32-bit
+//! big-endian integer.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Version of the messages. A request of another version is refused, and its sender starts without a hand-over.
+/// Version of the hand-over protocol. A request with another version is refused, and its sender starts
+/// without a hand-over.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// A message of the hand-over.
+/// A hand-over message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// The successor asks for the sockets.
+    /// The successor requests the sockets.
     Request(Request),
-    /// The predecessor gives them, as sockets that travel with this message.
+    /// The predecessor passes its sockets, attached to this message as file descriptors.
     Offer(Offer),
-    /// The predecessor gives nothing.
+    /// The predecessor refuses the request.
     Refusal(Refusal),
-    /// The successor takes clients: the predecessor accepts no more.
+    /// The successor accepts clients; the predecessor stops accepting.
     Ready,
-    /// The predecessor accepts no more: what it has spent of the limits that hold for both since the snapshot was taken,
-    /// encoded by its module. From here on the successor spends.
+    /// The predecessor has stopped accepting. Contains what it has spent of the shared budgets since the
+    /// snapshot was taken, as encoded by its router. From now on only the successor draws on them.
     Spending(String),
 }
 
-/// Who asks.
+/// A successor's request for the sockets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// Version of the messages that the successor speaks.
+    /// Protocol version of the successor.
     pub version: u32,
-    /// The broker's name, the same in both processes.
+    /// The broker's name, which must be the same in both processes.
     pub name: String,
-    /// Where clients connect, the same in both processes.
+    /// The address on which clients connect, which must be the same in both processes.
     pub listen: SocketAddr,
 }
 
-/// What a socket is for.
+/// The purpose of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SocketRole {
-    /// Clients of the platform's protocol connect to it.
+    /// Listener for clients of the platform's protocol.
     Clients,
-    /// Clients of the OGC front connect to it.
+    /// Listener for clients of the OGC front.
     OgcClients,
-    /// Datagrams of other brokers come to it.
+    /// Datagram socket for gossip between brokers.
     Peers,
 }
 
-/// What is given.
+/// The predecessor's answer to an accepted request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Offer {
-    /// What each of the sockets that travel with the message is for, in their order.
+    /// Roles of the attached sockets, in the order in which they are attached.
     pub roles: Vec<SocketRole>,
-    /// Clients' connections that the predecessor holds.
+    /// Number of client connections of the predecessor.
     pub clients: usize,
-    /// What the predecessor's module has learned, encoded by itself. A successor that can't read it starts without.
+    /// Snapshot of the state that the predecessor's router has learned, as encoded by the router. A successor
+    /// that can't decode it starts without learned state.
     pub snapshot: Option<String>,
-    /// The list of servers that the predecessor has, as discovery gives lists. A successor that can't read it goes by the
-    /// one that it has itself.
+    /// The predecessor's server list, in discovery's format. A successor that can't decode it uses its
+    /// own list.
     #[serde(default)]
     pub list: Option<String>,
 }
 
-/// Why nothing is given.
+/// Reason for which a request is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// The predecessor speaks another version of the messages.
+    /// The predecessor uses another protocol version, given here.
     Version(u32),
-    /// The request is for another broker.
+    /// The request is for a broker with another name or address.
     OtherBroker,
-    /// Another successor is being served.
+    /// A hand-over to another successor is in progress.
     Busy,
-    /// The predecessor is not serving, or ends.
+    /// The predecessor is shutting down.
     NotServing,
 }
--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -1,49 +1,49 @@
-//! The running process's side of the hand-over, without I/O.
+//! The running process's side of the hand-over as a state machine without I/O.
 
 use std::net::SocketAddr;
 
 use crate::message::{PROTOCOL_VERSION, Refusal, Request};
 
-/// Where the predecessor stands.
+/// The phase of the hand-over as seen by the predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PredecessorPhase {
-    /// No successor has asked.
+    /// No successor has requested the sockets.
     Waiting,
-    /// A successor has the sockets and is not ready: this process accepts clients.
+    /// A successor has the sockets but is not ready yet; this process accepts clients.
     Offered,
-    /// A successor is ready: it accepts clients, and this process does not.
+    /// A successor is ready and accepts clients; this process no longer does.
     Released,
 }
 
-/// What happens to the predecessor.
+/// An input to the predecessor's state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PredecessorEvent {
-    /// A process asks for the sockets.
+    /// A process requests the sockets.
     Requested(Request),
-    /// The successor takes clients.
+    /// The successor accepts clients.
     SuccessorReady,
-    /// The successor's connection has ended, and so has the successor.
+    /// The connection to the successor is closed, which means that the successor has exited.
     SuccessorEnded,
 }
 
-/// What the predecessor is to do.
+/// The action that the predecessor has to take.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PredecessorAction {
-    /// Nothing.
+    /// No action.
     None,
-    /// Send the sockets, and go on as before.
+    /// Send the sockets and keep accepting clients.
     Offer,
-    /// Say why it gives nothing, and end the connection.
+    /// Send the reason for the refusal and close the connection.
     Refuse(Refusal),
-    /// Accept no more clients, and keep the sockets.
+    /// Stop accepting clients, but keep the sockets open.
     StopAccepting,
-    /// Accept clients again.
+    /// Resume accepting clients: the successor has exited.
     ResumeAccepting,
-    /// Use all that the limits allow: the successor has ended before it was ready.
+    /// Use the full limits again: the successor has exited before it was ready.
     UseFullLimits,
 }
 
-/// The predecessor's state.
+/// The predecessor's state machine.
 #[derive(Clone, Debug)]
 pub struct Predecessor {
     phase: PredecessorPhase,
@@ -52,20 +52,20 @@
 }
 
 impl Predecessor {
-    /// A process that serves under this name and address.
+    /// Creates the state machine of a process that serves under this name and address.
     pub fn new(name: String, listen: SocketAddr) -> Self {
         Predecessor { phase: PredecessorPhase::Waiting, name, listen }
     }
 
-    /// Where it stands.
+    /// The current phase.
     pub fn phase(&self) -> PredecessorPhase {
         self.phase
     }
 
-    /// What follows from an event; `stopping` says that this process ends.
+    /// Handles an event and returns the action to take. `stopping` means that this process is shutting down.
     pub fn handle(&mut self, event: PredecessorEvent, stopping: bool) -> PredecessorAction {
         match (self.phase, event) {
-            (_, PredecessorEvent::Requested(request)) => self.requested(&request, stopping),
+            (_, PredecessorEvent::Requested(request)) => self.handle_request(&request, stopping),
             (PredecessorPhase::Offered, PredecessorEvent::SuccessorReady) => {
                 self.phase = PredecessorPhase::Released;
                 PredecessorAction::StopAccepting
@@ -83,7 +83,7 @@
         }
     }
 
-    fn requested(&mut self, request: &Request, stopping: bool) -> PredecessorAction {
+    fn handle_request(&mut self, request: &Request, stopping: bool) -> PredecessorAction {
         let refusal = if request.version != PROTOCOL_VERSION {
             Some(Refusal::Version(PROTOCOL_VERSION))
         } else if request.name != self.name || request.listen != self.listen {
--- a/crates/handover/src/rendezvous.rs
+++ b/crates/handover/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! The path where a successor finds its predecessor.
+//! The Unix socket path on which a successor connects to its predecessor.
 
 use std::fs;
 use std::io;
@@ -11,57 +11,58 @@
 
 use crate::channel::{Channel, ChannelError};
 
-/// Only the broker's own user may connect.
-const OWNER_ONLY: u32 = 0o600;
+/// File mode of the socket: only the broker's own user may connect.
+const OWNER_ONLY_MODE: u32 = 0o600;
 
-/// Why no successor can be served.
+/// Why this process can't listen for a successor.
 #[derive(Debug, Error)]
 pub enum RendezvousError {
-    /// The path is taken by something that is no socket.
-    #[error("{0}: is there and is no socket: move it away, or give another $TMPDIR")]
+    /// A file that is not a socket exists at the path.
+    #[error("{0}: exists and is not a socket: move it away, or set another $TMPDIR")]
     NotASocket(PathBuf),
-    /// Another process of this broker listens there.
+    /// Another process of this broker listens on the path.
     #[error(
-        "{0}: another process of this broker waits there: end this one, start it again after the upgrade"
+        "{0}: another process of this broker listens on it: stop this one and start it again after the upgrade"
     )]
     InUse(PathBuf),
-    /// The system refused it.
-    #[error("{path}: {source}: $TMPDIR has to be a folder that this user can write, with a short path")]
+    /// The socket could not be created.
+    #[error("{path}: {source}: $TMPDIR must be a directory with a short path that this user can write to")]
     Io {
-        /// The path.
+        /// The socket's path.
         path: PathBuf,
-        /// What the system said.
+        /// The underlying error.
         source: io::Error,
     },
 }
 
-/// A path in the folder that both processes share.
+/// The path of the Unix socket, in a directory that both processes share.
 #[derive(Clone, Debug)]
 pub struct Rendezvous {
     path: PathBuf,
 }
 
 impl Rendezvous {
-    /// The path for a broker by its name and address. It is kept short, as the system allows some hundred bytes.
-    pub fn new(folder: &Path, name: &str, listen: SocketAddr) -> Self {
+    /// Derives the path from the broker's name and address. It is kept short, as a Unix socket path may have
+    /// about 100 bytes.
+    pub fn new(directory: &Path, name: &str, listen: SocketAddr) -> Self {
         let identity = format!("{name} {listen}");
-        // FNV-1a: the same in each build, unlike the standard library's hash.
+        // FNV-1a: unlike the standard library's hash, its result is the same in every build.
         let hash = identity.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
         });
-        Rendezvous { path: folder.join(format!("handover-{hash:016x}.sock")) }
+        Rendezvous { path: directory.join(format!("handover-{hash:016x}.sock")) }
     }
 
-    /// The path.
+    /// The socket's path.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Connects to a predecessor. Nothing where there is none.
+    /// Connects to the predecessor. Returns `None` if no process listens on the path.
     ///
     /// # Errors
     ///
-    /// When there is one that can't be used.
+    /// If the connection fails for another reason, or the predecessor runs as another user.
     pub fn connect(&self) -> Result<Option<Channel>, ChannelError> {
         match UnixStream::connect(&self.path) {
             Ok(stream) => Channel::new(stream).map(Some),
@@ -74,12 +75,12 @@
         }
     }
 
-    /// Listens for a successor where no other process does: for one that has been refused, as another one takes over. A
-    /// socket that a process of before has left is replaced.
+    /// Listens for a successor unless another process does. Used by a process whose request was refused
+    /// because another one is taking over. A stale socket of an earlier process is replaced.
     ///
     /// # Errors
     ///
-    /// When another process listens there, or the path can't be used.
+    /// If another process listens on the path, or the socket can't be created.
     pub fn listen_if_free(&self) -> Result<UnixListener, RendezvousError> {
         match UnixStream::connect(&self.path) {
             Ok(_) => Err(RendezvousError::InUse(self.path.clone())),
@@ -87,23 +88,23 @@
         }
     }
 
-    /// Listens for a successor. A socket that is there is replaced, whether its process still listens or has left it:
-    /// this one has taken over from it.
+    /// Listens for a successor. An existing socket is replaced, whether or not its process still listens on
+    /// it: this process has taken over from it.
     ///
     /// # Errors
     ///
-    /// When the path can't be used.
+    /// If the socket can't be created, or a file that is not a socket exists at the path.
     pub fn listen(&self) -> Result<UnixListener, RendezvousError> {
-        let fault = |source| RendezvousError::Io { path: self.path.clone(), source };
+        let io_error = |source| RendezvousError::Io { path: self.path.clone(), source };
         match fs::symlink_metadata(&self.path) {
-            Ok(found) if found.file_type().is_socket() => fs::remove_file(&self.path).map_err(fault)?,
+            Ok(found) if found.file_type().is_socket() => fs::remove_file(&self.path).map_err(io_error)?,
             Ok(_) => return Err(RendezvousError::NotASocket(self.path.clone())),
             Err(error) if error.kind() == io::ErrorKind::NotFound => {}
-            Err(error) => return Err(fault(error)),
+            Err(error) => return Err(io_error(error)),
         }
-        let listener = UnixListener::bind(&self.path).map_err(fault)?;
-        fs::set_permissions(&self.path, fs::Permissions::from_mode(OWNER_ONLY)).map_err(fault)?;
-        listener.set_nonblocking(true).map_err(fault)?;
+        let listener = UnixListener::bind(&self.path).map_err(io_error)?;
+        fs::set_permissions(&self.path, fs::Permissions::from_mode(OWNER_ONLY_MODE)).map_err(io_error)?;
+        listener.set_nonblocking(true).map_err(io_error)?;
         Ok(listener)
     }
 }
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -1,73 +1,73 @@
-//! The new process's side of the hand-over, without I/O.
+//! The new process's side of the hand-over as a state machine without I/O.
 
 use crate::message::{Offer, Refusal};
 
-/// Where the successor stands.
+/// The phase of the hand-over as seen by the successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuccessorPhase {
-    /// It has asked for the sockets.
+    /// The sockets are requested.
     Requested,
-    /// It has them, and gets ready beside the predecessor.
+    /// The sockets are received; this process starts up while the predecessor serves.
     Adopted,
-    /// It takes clients; the predecessor serves those that it has.
+    /// This process accepts clients; the predecessor serves its remaining ones.
     Ready,
-    /// There is no other process: none was found, none gave anything, or it has ended.
+    /// There is no predecessor: none was found, it passed no sockets, or it has exited.
     Standalone,
 }
 
-/// What happens to the successor.
+/// An input to the successor's state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SuccessorEvent {
-    /// The predecessor gives its sockets.
+    /// The predecessor has passed its sockets.
     Offered(Offer),
-    /// The predecessor gives nothing.
+    /// The predecessor has refused the request.
     Refused(Refusal),
-    /// The predecessor did not answer in time, or not what can be read.
+    /// The predecessor did not answer in time, or its answer could not be decoded.
     NoAnswer,
-    /// This process takes clients.
+    /// This process accepts clients.
     Listening,
-    /// The predecessor's connection has ended, and so has the predecessor.
+    /// The connection to the predecessor is closed, which means that the predecessor has exited.
     PredecessorEnded,
 }
 
-/// What the successor is to do.
+/// The action that the successor has to take.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SuccessorAction {
-    /// Nothing.
+    /// No action.
     None,
-    /// Use the sockets and the snapshot, within what the predecessor leaves of the limits.
+    /// Use the sockets and the snapshot, within the limits that the predecessor leaves.
     Adopt(Offer),
-    /// Bind sockets of its own.
+    /// Bind new sockets.
     BindOwn,
-    /// Tell the predecessor that it may stop accepting.
+    /// Tell the predecessor that this process accepts clients.
     AnnounceReady,
-    /// Use all that the limits allow: nobody shares them any more.
+    /// Use the full limits: the predecessor has exited.
     UseFullLimits,
 }
 
-/// The successor's state.
+/// The successor's state machine.
 #[derive(Clone, Debug)]
 pub struct Successor {
     phase: SuccessorPhase,
 }
 
 impl Successor {
-    /// A process that has asked a predecessor.
+    /// Creates the state machine of a process that has requested a predecessor's sockets.
     pub fn requested() -> Self {
         Successor { phase: SuccessorPhase::Requested }
     }
 
-    /// A process that has found nobody to ask.
+    /// Creates the state machine of a process that has found no predecessor.
     pub fn standalone() -> Self {
         Successor { phase: SuccessorPhase::Standalone }
     }
 
-    /// Where it stands.
+    /// The current phase.
     pub fn phase(&self) -> SuccessorPhase {
         self.phase
     }
 
-    /// What follows from an event.
+    /// Handles an event and returns the action to take.
     pub fn handle(&mut self, event: SuccessorEvent) -> SuccessorAction {
         match (self.phase, event) {
             (SuccessorPhase::Requested, SuccessorEvent::Offered(offer)) => {
--- a/crates/handover/tests/channel.rs
+++ b/crates/handover/tests/channel.rs
@@ -1,4 +1,5 @@
-//! The channel over a pair of Unix sockets: messages cut at each byte, sockets, and what is no message.
+//! Tests the channel over a pair of Unix sockets: messages split at every byte, file descriptors, invalid
+//! messages.
 
 use std::io::{IoSlice, Read, Write};
 use std::mem::MaybeUninit;
@@ -9,16 +10,16 @@
 use badgergauge_handover::{Channel, ChannelError, Message, Offer, Refusal, SocketRole};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
 
-/// The length of a message's length.
-const LENGTH_BYTES: usize = 4;
-/// Longer than a message may be, and than the system buffers.
-const TOO_LONG: u32 = 4 * 1024 * 1024 + 1;
+/// Size of the length prefix of a message.
+const LENGTH_PREFIX_BYTES: usize = 4;
+/// One byte more than the maximum length of a message.
+const TOO_LONG_BYTES: u32 = 4 * 1024 * 1024 + 1;
 
-/// A channel that does not wait, and the other end of its connection.
+/// Returns a non-blocking channel and the other end of its connection.
 fn channel() -> (Channel, UnixStream) {
-    let (near, far) = UnixStream::pair().expect("a pair");
-    near.set_nonblocking(true).expect("set");
-    (Channel::new(near).expect("of the same user"), far)
+    let (local, remote) = UnixStream::pair().expect("a socket pair");
+    local.set_nonblocking(true).expect("set");
+    (Channel::new(local).expect("same user"), remote)
 }
 
 fn offer() -> Message {
@@ -30,7 +31,7 @@
     })
 }
 
-/// A message as the channel writes it.
+/// Returns a message as the channel encodes it.
 fn encoded(message: &Message) -> Vec<u8> {
     let (mut sender, mut receiver) = channel();
     sender.send(message, &[]).expect("sent");
@@ -40,7 +41,7 @@
     bytes
 }
 
-/// Writes bytes that a socket travels with.
+/// Writes bytes with a socket attached.
 fn write_with_socket(stream: &UnixStream, bytes: &[u8], socket: BorrowedFd<'_>) {
     let sockets = [socket];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -50,11 +51,11 @@
     assert_eq!(written.expect("written"), bytes.len());
 }
 
-/// A listener that came through a channel accepts what connects to the one that was sent.
-fn accepts_for(received: TcpListener, sent: &TcpListener) {
+/// Checks that a received listener accepts a connection to the listener that was sent.
+fn assert_same_listener(received: TcpListener, sent: &TcpListener) {
     let address = sent.local_addr().expect("bound");
-    let mut client = TcpStream::connect(address).expect("it listens");
-    let (mut accepted, _) = received.accept().expect("a connection waits");
+    let mut client = TcpStream::connect(address).expect("connected");
+    let (mut accepted, _) = received.accept().expect("a pending connection");
     client.write_all(b"x").expect("written");
     let mut byte = [0];
     accepted.read_exact(&mut byte).expect("read");
@@ -62,114 +63,117 @@
 }
 
 #[test]
-fn each_message_comes_as_it_was_sent() {
+fn messages_are_received_as_sent() {
     let refusals =
         [Refusal::Version(2), Refusal::OtherBroker, Refusal::Busy, Refusal::NotServing].map(Message::Refusal);
-    let (near, far) = UnixStream::pair().expect("a pair");
-    let (mut sender, mut receiver) = (Channel::new(near).expect("same"), Channel::new(far).expect("same"));
+    let (local, remote) = UnixStream::pair().expect("a socket pair");
+    let (mut sender, mut receiver) =
+        (Channel::new(local).expect("same user"), Channel::new(remote).expect("same user"));
     for message in refusals.into_iter().chain([offer(), Message::Ready]) {
         sender.send(&message, &[]).expect("sent");
         assert!(!sender.wants_write());
-        let received = receiver.receive().expect("received").expect("whole");
+        let received = receiver.receive().expect("received").expect("a complete message");
         assert_eq!(received.message, message);
         assert!(received.sockets.is_empty());
     }
 }
 
 #[test]
-fn a_message_that_is_cut_at_any_byte_comes_whole_with_its_socket() {
+fn a_message_split_at_any_byte_is_received_with_its_socket() {
     let bytes = encoded(&offer());
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     for cut in 1..bytes.len() {
-        let (mut channel, mut far) = channel();
-        write_with_socket(&far, &bytes[..cut], listener.as_fd());
-        assert!(channel.receive().expect("nothing wrong").is_none(), "cut at {cut}");
-        far.write_all(&bytes[cut..]).expect("written");
-        let received = channel.receive().expect("received").expect("whole");
+        let (mut channel, mut remote) = channel();
+        write_with_socket(&remote, &bytes[..cut], listener.as_fd());
+        assert!(channel.receive().expect("no error").is_none(), "cut at {cut}");
+        remote.write_all(&bytes[cut..]).expect("written");
+        let received = channel.receive().expect("received").expect("a complete message");
         assert_eq!(received.message, offer(), "cut at {cut}");
         assert_eq!(received.sockets.len(), 1, "cut at {cut}");
     }
 }
 
 #[test]
-fn an_end_at_any_byte_of_a_message_is_an_end() {
+fn a_connection_closed_within_a_message_is_reported_as_closed() {
     let bytes = encoded(&offer());
     for cut in 0..bytes.len() {
-        let (mut channel, mut far) = channel();
-        far.write_all(&bytes[..cut]).expect("written");
-        drop(far);
+        let (mut channel, mut remote) = channel();
+        remote.write_all(&bytes[..cut]).expect("written");
+        drop(remote);
         let result = channel.receive();
         assert!(matches!(result, Err(ChannelError::Closed)), "cut at {cut}: {result:?}");
     }
 }
 
 #[test]
-fn messages_that_come_together_are_told_apart() {
-    let (mut channel, mut far) = channel();
+fn messages_received_together_are_separated() {
+    let (mut channel, mut remote) = channel();
     let mut bytes = encoded(&offer());
     bytes.extend(encoded(&Message::Ready));
-    far.write_all(&bytes).expect("written");
-    assert_eq!(channel.receive().expect("received").expect("whole").message, offer());
-    assert_eq!(channel.receive().expect("received").expect("whole").message, Message::Ready);
-    assert!(channel.receive().expect("nothing wrong").is_none());
+    remote.write_all(&bytes).expect("written");
+    assert_eq!(channel.receive().expect("received").expect("a complete message").message, offer());
+    assert_eq!(channel.receive().expect("received").expect("a complete message").message, Message::Ready);
+    assert!(channel.receive().expect("no error").is_none());
 }
 
 #[test]
-fn sockets_come_in_their_order_and_work() {
-    let (near, far) = UnixStream::pair().expect("a pair");
-    let (mut sender, mut receiver) = (Channel::new(near).expect("same"), Channel::new(far).expect("same"));
+fn sockets_are_received_in_order_and_usable() {
+    let (local, remote) = UnixStream::pair().expect("a socket pair");
+    let (mut sender, mut receiver) =
+        (Channel::new(local).expect("same user"), Channel::new(remote).expect("same user"));
     let listeners = [(); 3].map(|()| TcpListener::bind("127.0.0.1:0").expect("a free port"));
     let sockets: Vec<BorrowedFd<'_>> = listeners.iter().map(AsFd::as_fd).collect();
     sender.send(&offer(), &sockets).expect("sent");
-    let received = receiver.receive().expect("received").expect("whole");
+    let received = receiver.receive().expect("received").expect("a complete message");
     assert_eq!(received.sockets.len(), listeners.len());
     for (socket, sent) in received.sockets.into_iter().zip(&listeners) {
-        accepts_for(TcpListener::from(socket), sent);
+        assert_same_listener(TcpListener::from(socket), sent);
     }
 }
 
 #[test]
-fn a_socket_goes_on_after_the_process_that_sent_it_has_closed_it() {
-    let (mut channel, far) = channel();
+fn a_received_socket_works_after_the_sender_has_closed_its_own() {
+    let (mut channel, remote) = channel();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    write_with_socket(&far, &encoded(&offer()), listener.as_fd());
-    // It waits in the queue of connections while the sender closes all it has.
-    let mut waits = TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
-    drop((listener, far));
-    let mut received = channel.receive().expect("received").expect("whole");
+    write_with_socket(&remote, &encoded(&offer()), listener.as_fd());
+    // The connection stays in the accept queue while the sender closes its sockets.
+    let mut client = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
+    drop((listener, remote));
+    let mut received = channel.receive().expect("received").expect("a complete message");
     let listener = TcpListener::from(received.sockets.remove(0));
-    let (mut accepted, _) = listener.accept().expect("the connection waits");
+    let (mut accepted, _) = listener.accept().expect("the pending connection");
     accepted.write_all(b"y").expect("written");
     let mut byte = [0];
-    waits.read_exact(&mut byte).expect("read");
+    client.read_exact(&mut byte).expect("read");
     assert_eq!(&byte, b"y");
 }
 
 #[test]
-fn a_message_longer_than_the_connection_buffers_is_sent_in_turns() {
-    let (near, far) = UnixStream::pair().expect("a pair");
-    near.set_nonblocking(true).expect("set");
-    far.set_nonblocking(true).expect("set");
-    let (mut sender, mut receiver) = (Channel::new(near).expect("same"), Channel::new(far).expect("same"));
+fn a_message_larger_than_the_socket_buffer_is_sent_in_parts() {
+    let (local, remote) = UnixStream::pair().expect("a socket pair");
+    local.set_nonblocking(true).expect("set");
+    remote.set_nonblocking(true).expect("set");
+    let (mut sender, mut receiver) =
+        (Channel::new(local).expect("same user"), Channel::new(remote).expect("same user"));
     let snapshot = Some("s".repeat(2 * 1024 * 1024));
     let message = Message::Offer(Offer { roles: Vec::new(), clients: 0, snapshot, list: None });
-    sender.send(&message, &[]).expect("sent in part");
-    assert!(sender.wants_write(), "it is longer than what the system buffers");
+    sender.send(&message, &[]).expect("partly sent");
+    assert!(sender.wants_write(), "the message exceeds the socket buffer");
     let received = loop {
-        if let Some(received) = receiver.receive().expect("nothing wrong") {
+        if let Some(received) = receiver.receive().expect("no error") {
             break received;
         }
-        sender.flush().expect("sent on");
+        sender.flush().expect("sent");
     };
     assert_eq!(received.message, message);
     assert!(!sender.wants_write());
 }
 
 #[test]
-fn what_is_no_message_is_an_error() {
+fn invalid_messages_are_rejected() {
     let framed = |body: &[u8]| [&u32::try_from(body.len()).expect("short").to_be_bytes(), body].concat();
     let table = [
-        TOO_LONG.to_be_bytes().to_vec(),
+        TOO_LONG_BYTES.to_be_bytes().to_vec(),
         u32::MAX.to_be_bytes().to_vec(),
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
         framed(b""),
@@ -179,25 +183,25 @@
         framed(&[0xff; 16]),
     ];
     for bytes in table {
-        let (mut channel, mut far) = channel();
-        far.write_all(&bytes).expect("written");
+        let (mut channel, mut remote) = channel();
+        remote.write_all(&bytes).expect("written");
         let result = channel.receive();
         assert!(matches!(result, Err(ChannelError::Malformed(_))), "{bytes:?}: {result:?}");
     }
 }
 
 #[test]
-fn a_length_alone_brings_nothing() {
-    let (mut channel, mut far) = channel();
-    far.write_all(&(TOO_LONG - 1).to_be_bytes()).expect("written");
-    assert!(channel.receive().expect("nothing wrong").is_none());
-    assert_eq!(encoded(&Message::Ready).len(), LENGTH_BYTES + "\"ready\"".len());
+fn a_length_prefix_without_a_body_is_incomplete() {
+    let (mut channel, mut remote) = channel();
+    remote.write_all(&(TOO_LONG_BYTES - 1).to_be_bytes()).expect("written");
+    assert!(channel.receive().expect("no error").is_none());
+    assert_eq!(encoded(&Message::Ready).len(), LENGTH_PREFIX_BYTES + "\"ready\"".len());
 }
 
 #[test]
-fn sending_to_a_process_that_has_ended_is_an_end() {
-    let (mut channel, far) = channel();
-    drop(far);
+fn sending_to_a_closed_connection_is_reported_as_closed() {
+    let (mut channel, remote) = channel();
+    drop(remote);
     let result = channel.send(&Message::Ready, &[]);
     assert!(matches!(result, Err(ChannelError::Closed)), "{result:?}");
 }
--- a/crates/handover/tests/state_machines.rs
+++ b/crates/handover/tests/state_machines.rs
@@ -1,4 +1,4 @@
-//! Both state machines of the hand-over, by table: each phase with each event.
+//! Table tests of both state machines of the hand-over: every phase with every event.
 
 use badgergauge_handover::{
     Offer, PROTOCOL_VERSION, Predecessor, PredecessorAction, PredecessorEvent, PredecessorPhase, Refusal,
@@ -20,7 +20,7 @@
     Offer { roles: vec![SocketRole::Clients], clients: 3, snapshot: Some("{}".to_owned()), list: None }
 }
 
-/// A predecessor that was brought into this phase.
+/// Creates a predecessor and brings it into this phase.
 fn predecessor(phase: PredecessorPhase) -> Predecessor {
     let mut predecessor = Predecessor::new(NAME.to_owned(), LISTEN.parse().expect("an address"));
     if phase != PredecessorPhase::Waiting {
@@ -33,7 +33,7 @@
     predecessor
 }
 
-/// A successor that was brought into this phase.
+/// Creates a successor and brings it into this phase.
 fn successor(phase: SuccessorPhase) -> Successor {
     let mut successor = match phase {
         SuccessorPhase::Standalone => Successor::standalone(),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn each_phase_of_the_predecessor_with_each_event() {
+fn predecessor_handles_every_event_in_every_phase() {
     use PredecessorAction as Action;
     use PredecessorEvent::{SuccessorEnded, SuccessorReady};
     use PredecessorPhase::{Offered, Released, Waiting};
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn each_phase_of_a_stopping_predecessor_with_each_event() {
+fn stopping_predecessor_handles_every_event_in_every_phase() {
     use PredecessorAction as Action;
     use PredecessorEvent::{SuccessorEnded, SuccessorReady};
     use PredecessorPhase::{Offered, Released, Waiting};
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_request_of_another_version_or_for_another_broker_is_refused_in_each_phase() {
+fn requests_of_another_version_or_for_another_broker_are_refused_in_every_phase() {
     let table = [
         (Request { version: PROTOCOL_VERSION + 1, ..request() }, Refusal::Version(PROTOCOL_VERSION)),
         (
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_further_successor_is_served_after_one_that_ended() {
+fn another_successor_is_accepted_after_one_has_exited() {
     for phase in [PredecessorPhase::Offered, PredecessorPhase::Released] {
         let mut predecessor = predecessor(phase);
         predecessor.handle(PredecessorEvent::SuccessorEnded, false);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn each_phase_of_the_successor_with_each_event() {
+fn successor_handles_every_event_in_every_phase() {
     use SuccessorAction as Action;
     use SuccessorEvent::{Listening, NoAnswer, Offered, PredecessorEnded, Refused};
     use SuccessorPhase::{Adopted, Ready, Requested, Standalone};
--- a/tests/upgrade/failures.rs
+++ b/tests/upgrade/failures.rs
@@ -150,7 +150,7 @@
     third.go_on();
     third.becomes_ready();
     third.logs("the running process refused: Busy");
-    third.logs("another process of this broker waits there");
+    third.logs("another process of this broker listens on it");
     old.stop();
     third.stop();
     let fourth = site.start_successor();
--- a/tests/upgrade/rendezvous.rs
+++ b/tests/upgrade/rendezvous.rs
@@ -26,10 +26,10 @@
     let path = site.rendezvous().path().to_owned();
     fs::write(&path, "mine").expect("written");
     let first = site.start();
-    first.logs("is there and is no socket");
+    first.logs("exists and is not a socket");
     let load = Load::start(site.listen);
     let second = site.start();
-    second.logs("is there and is no socket");
+    second.logs("exists and is not a socket");
     load.wait_for(SOME);
     load.end().assert_whole();
     assert_eq!(fs::read_to_string(&path).expect("there"), "mine");
