--- a/tests/upgrade/cold.rs
+++ b/tests/upgrade/cold.rs
@@ -1,8 +1,9 @@
-//! Cold servers in an upgrade: a server that has just started falls over under the sum of what both processes send it.
+//! The load limit of cold servers during an upgrade: a server that has just started is overloaded if both
+//! processes together exceed its limit.
 //!
-//! What was seen: while the new process gets ready, the old one goes on to send to cold servers, and after it is ready both
-//! do, each up to the whole limit. Why: the snapshot says what the old process had sent when it was taken; what it sends
-//! after that was counted by itself alone, and what the new one sends by the new one.
+//! Both processes used to send to cold servers up to the full limit each: the old one while the new one
+//! started, and both after that. The snapshot contains what the old process had sent when it was taken; later
+//! attempts were counted only by the process that sent them.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -10,59 +11,60 @@
 
 use serde_json::json;
 
-use crate::load::{Outcome, read_answer};
+use crate::fixture::Fixture;
+use crate::load::{Outcome, read_response};
 use crate::process::Process;
-use crate::site::Site;
 use crate::stage::{request, until};
 
-/// The time in which the settings count what a cold server gets.
+/// Time window of the limit for cold servers (`overloadForNs`).
 const WINDOW: Duration = Duration::from_secs(2);
-/// The cold server's number.
+/// Index of the cold server.
 const COLD: usize = 1;
-/// A cold server may get so many parts within the window: a fifth of what five workers do, at 0.1 s of work for a part,
-/// which is the least that the module counts at aims of 5 s.
+/// Maximum number of parts that a cold server may get within the window: a fifth of the capacity of five
+/// workers at 0.1 s of work per part, the minimum that the router assumes for aims of 5 s.
 const LIMIT: f64 = 20.0;
-/// Queries that are more than enough to fill the limit; what is beyond it is refused.
-const MANY: usize = 60;
+/// Number of queries that exceeds the limit; the excess is refused.
+const QUERIES: usize = 60;
 
-/// Two servers, the second of which has just started, stays cold and alone holds the shard of its number.
-fn site(name: &str) -> Site {
-    Site::with(name, |settings, lines| {
+/// Creates two servers. The second one has just started, stays cold and is the only one with shard [`COLD`].
+fn fixture(name: &str) -> Fixture {
+    Fixture::with(name, |settings, entries| {
         settings["safety"]["coldNs"] = json!(600_000_000_000_u64);
         settings["safety"]["fallMultiple"] = json!(5.0);
         settings["safety"]["overloadForNs"] = json!(WINDOW.as_nanos() as u64);
         let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
-        lines[COLD]["since_ms"] = json!(now.as_millis() as u64);
+        entries[COLD]["since_ms"] = json!(now.as_millis() as u64);
     })
 }
 
-/// Lets the window pass since the process's first step: before that it holds itself to a part of the limit.
-fn live_for_a_window(site: &Site) {
-    let born = Instant::now();
-    site.serves("first");
-    until("time stands still", || born.elapsed() > WINDOW);
+/// Waits for one window from the process's first step; until then it uses only part of the limit.
+fn wait_for_first_window(fixture: &Fixture) {
+    let started = Instant::now();
+    fixture.assert_serves("first");
+    until("the first window does not pass", || started.elapsed() > WINDOW);
 }
 
-/// Asks the cold server many times over one connection, which stays with the process that has taken it.
-fn ask(client: &mut TcpStream, name: &str) {
-    for number in 0..MANY {
+/// Sends [`QUERIES`] queries for the cold server over one connection, which stays with the process that
+/// accepted it.
+fn send_queries(client: &mut TcpStream, name: &str) {
+    for number in 0..QUERIES {
         let part = request("search", &format!("{name}-{number}"), &[COLD as u32], 50_000);
         client.write_all(part.as_bytes()).expect("written");
-        let outcome = read_answer(client);
+        let outcome = read_response(client);
         assert!(matches!(outcome, Outcome::Answered(200 | 503)), "{name}, {number}: {outcome:?}");
     }
 }
 
-fn assert_within_limit(site: &Site) {
-    let most = site.tiles[COLD].most_within(WINDOW);
-    assert!(most >= 5, "{most} parts in {WINDOW:?}: hardly any, the test shows nothing");
-    // What the protocol leaves to chance.
+fn assert_within_limit(fixture: &Fixture) {
+    let most = fixture.tile_servers[COLD].max_within(WINDOW);
+    assert!(most >= 5, "only {most} parts in {WINDOW:?}: too few for a meaningful test");
+    // Allows for the protocol's statistical variation.
     let bound = LIMIT + 2.0 * LIMIT.sqrt() + 2.0;
-    assert!((most as f64) <= bound, "{most} parts in {WINDOW:?} where {LIMIT} are the limit");
+    assert!((most as f64) <= bound, "{most} parts in {WINDOW:?} exceed the limit of {LIMIT}");
 }
 
-fn connect(site: &Site) -> TcpStream {
-    TcpStream::connect(site.listen).expect("it listens")
+fn connect(fixture: &Fixture) -> TcpStream {
+    TcpStream::connect(fixture.listen).expect("connected")
 }
 
 fn stop(old: Process, successor: Process) {
@@ -70,38 +72,39 @@
     successor.stop();
 }
 
-// The new process has the snapshot and is held before it takes clients, while the old one serves on.
+// The new process has the snapshot and is suspended before it accepts clients, while the old one keeps
+// sending.
 #[test]
-fn what_the_old_process_sends_after_the_snapshot_counts_for_both() {
-    let site = site("cold-before");
-    let old = site.start();
-    live_for_a_window(&site);
-    let mut stays = connect(&site);
-    let successor = site.held_successor(&old);
-    ask(&mut stays, "meanwhile");
-    successor.go_on();
-    successor.becomes_ready();
-    old.logs("the new process takes clients");
-    ask(&mut connect(&site), "after");
-    assert_within_limit(&site);
-    drop(stays);
+fn attempts_of_the_old_process_after_the_snapshot_count_for_both() {
+    let fixture = fixture("cold-before");
+    let old = fixture.start();
+    wait_for_first_window(&fixture);
+    let mut old_client = connect(&fixture);
+    let successor = fixture.start_suspended_successor(&old);
+    send_queries(&mut old_client, "meanwhile");
+    successor.resume();
+    successor.wait_until_ready();
+    old.wait_for_log("the new process takes clients");
+    send_queries(&mut connect(&fixture), "after");
+    assert_within_limit(&fixture);
+    drop(old_client);
     stop(old, successor);
 }
 
-// Both processes serve: the new one takes clients, and the old one still has some.
+// Both processes serve: the new one accepts clients, and the old one still has some.
 #[test]
 fn both_processes_together_stay_within_the_limit() {
-    let site = site("cold-both");
-    let old = site.start();
-    live_for_a_window(&site);
-    let mut stays = connect(&site);
-    ask(&mut stays, "before");
-    let successor = site.start_successor();
-    old.logs("the new process takes clients");
-    until("the window does not pass", || site.tiles[COLD].quiet_for(WINDOW));
-    ask(&mut connect(&site), "new");
-    ask(&mut stays, "old");
-    assert_within_limit(&site);
-    drop(stays);
+    let fixture = fixture("cold-both");
+    let old = fixture.start();
+    wait_for_first_window(&fixture);
+    let mut old_client = connect(&fixture);
+    send_queries(&mut old_client, "before");
+    let successor = fixture.start_successor();
+    old.wait_for_log("the new process takes clients");
+    until("the cold server stays busy", || fixture.tile_servers[COLD].is_idle_for(WINDOW));
+    send_queries(&mut connect(&fixture), "new");
+    send_queries(&mut old_client, "old");
+    assert_within_limit(&fixture);
+    drop(old_client);
     stop(old, successor);
 }
--- a/tests/upgrade/failures.rs
+++ b/tests/upgrade/failures.rs
@@ -1,161 +1,163 @@
-//! Hand-overs in which one of the processes ends, is told something, or is not alone.
+//! Hand-overs in which a process is killed or stopped, reloads its settings, or a third process starts.
 
 use std::io::Write;
 use std::net::TcpStream;
 
 use rustix::process::Signal;
 
-use crate::load::{Load, Outcome, UP, read_answer};
-use crate::site::Site;
+use crate::fixture::Fixture;
+use crate::load::{Load, Outcome, UP_REQUEST, read_response};
 use crate::stage::request;
 
-/// Requests that a stream of clients makes in a phase of an upgrade.
-const SOME: usize = 50;
-/// Connections that wait in the queue of a held process, and those among them that ask for a part: a burst of twenty
-/// parts is more than any broker takes at once, and it would refuse some.
+/// Minimum number of queries that the clients send in each phase of an upgrade.
+const REQUESTS_PER_PHASE: usize = 50;
+/// Number of connections in the accept queue of the suspended process.
 const WAITING: usize = 20;
-const WAITING_PARTS: usize = 6;
+/// Number of those connections that send a query; the others call `GET /up`. A broker would refuse some of a
+/// burst of 20 queries.
+const WAITING_QUERIES: usize = 6;
 
 #[test]
-fn a_successor_that_is_killed_before_it_is_ready_costs_nothing() {
-    let site = Site::new("killed");
-    let old = site.start();
-    let load = Load::start(site.listen);
-    let successor = site.held_successor(&old);
-    load.wait_for(SOME);
+fn a_successor_killed_before_it_is_ready_loses_no_requests() {
+    let fixture = Fixture::new("killed");
+    let old = fixture.start();
+    let load = Load::start(fixture.listen);
+    let successor = fixture.start_suspended_successor(&old);
+    load.wait_for(REQUESTS_PER_PHASE);
     successor.kill();
-    old.logs("this one serves on");
-    load.wait_for(SOME);
-    let further = site.start_successor();
+    old.wait_for_log("this one serves on");
+    load.wait_for(REQUESTS_PER_PHASE);
+    let further = fixture.start_successor();
     old.stop();
-    load.wait_for(SOME);
-    load.end().assert_whole();
+    load.wait_for(REQUESTS_PER_PHASE);
+    load.finish().assert_all_succeeded();
     further.stop();
 }
 
 #[test]
-fn a_successor_that_is_killed_once_it_was_ready_leaves_the_clients_to_the_old_process() {
-    let site = Site::new("ready");
-    let old = site.start();
-    let successor = site.start_successor();
-    old.logs("the new process takes clients");
+fn the_old_process_resumes_after_a_ready_successor_is_killed() {
+    let fixture = Fixture::new("ready");
+    let old = fixture.start();
+    let successor = fixture.start_successor();
+    old.wait_for_log("the new process takes clients");
     successor.kill();
-    // These wait in the queue until the old process accepts again.
-    site.serves("again");
-    old.logs("clients are taken here again");
+    // These connections stay in the accept queue until the old process resumes accepting.
+    fixture.assert_serves("again");
+    old.wait_for_log("clients are taken here again");
     assert!(old.is_ready());
-    let further = site.start_successor();
+    let further = fixture.start_successor();
     old.stop();
-    site.serves("further");
+    fixture.assert_serves("further");
     further.stop();
 }
 
 #[test]
-fn an_old_process_that_is_killed_in_mid_hand_over_leaves_its_queue_to_the_successor() {
-    let site = Site::new("old");
-    let old = site.start();
-    let successor = site.held_successor(&old);
-    old.hold();
+fn the_successor_serves_the_accept_queue_of_a_killed_old_process() {
+    let fixture = Fixture::new("old");
+    let old = fixture.start();
+    let successor = fixture.start_suspended_successor(&old);
+    old.suspend();
     let waiting: Vec<TcpStream> = (0..WAITING)
         .map(|number| {
-            let mut stream = TcpStream::connect(site.listen).expect("it waits in the queue");
+            let mut stream = TcpStream::connect(fixture.listen).expect("queued");
             let part = request("search", &format!("waits-{number}"), &[0], 50_000);
-            let request = if number < WAITING_PARTS { &part } else { UP };
+            let request = if number < WAITING_QUERIES { &part } else { UP_REQUEST };
             stream.write_all(request.as_bytes()).expect("written");
             stream
         })
         .collect();
     old.kill();
-    successor.go_on();
+    successor.resume();
     for mut stream in waiting {
-        assert_eq!(read_answer(&mut stream), Outcome::Answered(200));
+        assert_eq!(read_response(&mut stream), Outcome::Answered(200));
     }
-    successor.becomes_ready();
-    site.serves("after");
-    let further = site.start();
+    successor.wait_until_ready();
+    fixture.assert_serves("after");
+    let further = fixture.start();
     successor.stop();
-    site.serves("further");
+    fixture.assert_serves("further");
     further.stop();
 }
 
 #[test]
-fn an_old_process_that_is_told_to_end_early_leaves_nobody_behind() {
-    let site = Site::new("early");
-    let mut old = site.start();
-    let load = Load::start(site.listen);
-    let successor = site.held_successor(&old);
-    load.wait_for(SOME);
+fn an_old_process_stopped_before_the_successor_is_ready_loses_no_requests() {
+    let fixture = Fixture::new("early");
+    let mut old = fixture.start();
+    let load = Load::start(fixture.listen);
+    let successor = fixture.start_suspended_successor(&old);
+    load.wait_for(REQUESTS_PER_PHASE);
     old.signal(Signal::TERM);
-    // Nobody accepts once it has ended: clients wait in the queue that the successor holds too.
-    assert_eq!(old.exit(), Some(0), "{}", old.log());
-    successor.go_on();
-    successor.becomes_ready();
-    load.wait_for(SOME);
-    load.end().assert_whole();
+    // After its exit nobody accepts: clients wait in the accept queue, which the successor shares.
+    assert_eq!(old.wait_for_exit(), Some(0), "{}", old.log());
+    successor.resume();
+    successor.wait_until_ready();
+    load.wait_for(REQUESTS_PER_PHASE);
+    load.finish().assert_all_succeeded();
     successor.stop();
 }
 
 #[test]
-fn an_old_process_that_reads_its_settings_anew_in_mid_hand_over_goes_on() {
-    let site = Site::new("reload");
-    let old = site.start();
-    let load = Load::start(site.listen);
-    let successor = site.held_successor(&old);
+fn an_old_process_that_reloads_its_settings_completes_the_hand_over() {
+    let fixture = Fixture::new("reload");
+    let old = fixture.start();
+    let load = Load::start(fixture.listen);
+    let successor = fixture.start_suspended_successor(&old);
     old.signal(Signal::HUP);
-    load.wait_for(SOME);
-    successor.go_on();
-    successor.becomes_ready();
-    old.logs("the new process takes clients");
+    load.wait_for(REQUESTS_PER_PHASE);
+    successor.resume();
+    successor.wait_until_ready();
+    old.wait_for_log("the new process takes clients");
     old.signal(Signal::HUP);
-    load.wait_for(SOME);
+    load.wait_for(REQUESTS_PER_PHASE);
     old.stop();
-    load.wait_for(SOME);
-    load.end().assert_whole();
+    load.wait_for(REQUESTS_PER_PHASE);
+    load.finish().assert_all_succeeded();
     successor.stop();
 }
 
 #[test]
-fn a_third_process_beside_a_hand_over_costs_nothing() {
-    let site = Site::new("third");
-    let old = site.start();
-    let load = Load::start(site.listen);
-    let second = site.held_successor(&old);
-    let third = site.start();
-    third.logs("the running process refused: Busy");
-    load.wait_for(SOME);
-    second.go_on();
-    second.becomes_ready();
-    old.logs("the new process takes clients");
-    load.wait_for(SOME);
+fn a_third_process_during_a_hand_over_loses_no_requests() {
+    let fixture = Fixture::new("third");
+    let old = fixture.start();
+    let load = Load::start(fixture.listen);
+    let second = fixture.start_suspended_successor(&old);
+    let third = fixture.start();
+    third.wait_for_log("the running process refused: Busy");
+    load.wait_for(REQUESTS_PER_PHASE);
+    second.resume();
+    second.wait_until_ready();
+    old.wait_for_log("the new process takes clients");
+    load.wait_for(REQUESTS_PER_PHASE);
     old.stop();
-    load.wait_for(SOME);
-    load.end().assert_whole();
+    load.wait_for(REQUESTS_PER_PHASE);
+    load.finish().assert_all_succeeded();
     second.stop();
-    site.serves("third");
+    fixture.assert_serves("third");
     third.stop();
 }
 
-// What was seen: after an upgrade during which a third process was started and ended, the next upgrade found nobody to take
-// over from; the process that had taken over kept its clients and had no successor. Why: the third process had been refused, and
-// still took the path where processes meet once it was ready, from a process that was listening there.
+// Guards against a third process, started during an upgrade, that takes over the hand-over socket's path. Its
+// request was refused, but once it was ready it replaced the socket of the process that was taking over. The
+// next upgrade then found no predecessor after the third process had ended, and the process with the clients
+// had no successor.
 #[test]
-fn a_third_process_leaves_the_path_to_the_one_that_takes_over() {
-    let site = Site::new("path");
-    let old = site.start();
-    let second = site.held_successor(&old);
-    let third = site.held_before_ready();
-    second.go_on();
-    second.becomes_ready();
-    old.logs("the new process takes clients");
-    third.go_on();
-    third.becomes_ready();
-    third.logs("the running process refused: Busy");
-    third.logs("another process of this broker listens on it");
+fn a_third_process_does_not_replace_the_socket_of_the_second() {
+    let fixture = Fixture::new("path");
+    let old = fixture.start();
+    let second = fixture.start_suspended_successor(&old);
+    let third = fixture.start_suspended();
+    second.resume();
+    second.wait_until_ready();
+    old.wait_for_log("the new process takes clients");
+    third.resume();
+    third.wait_until_ready();
+    third.wait_for_log("the running process refused: Busy");
+    third.wait_for_log("another process of this broker listens on it");
     old.stop();
     third.stop();
-    let fourth = site.start_successor();
-    second.logs("a new process has the listening sockets");
+    let fourth = fixture.start_successor();
+    second.wait_for_log("a new process has the listening sockets");
     second.stop();
-    site.serves("path");
+    fixture.assert_serves("path");
     fourth.stop();
 }
--- a/tests/upgrade/lists.rs
+++ b/tests/upgrade/lists.rs
@@ -1,60 +1,60 @@
-//! The list of servers in an upgrade.
+//! The server list during an upgrade.
 
 use serde_json::json;
 
+use crate::fixture::{Fixture, TAKEN_OVER_LOG};
 use crate::load::Outcome;
 use crate::process::Process;
-use crate::site::{Site, TAKEN_OVER};
 use crate::stage::Discovery;
 
-/// The server that drains, which alone holds the shard of its number.
-const DRAINS: usize = 1;
+/// Index of the server that drains. It is the only one with the shard of this number.
+const DRAINING: usize = 1;
 
-/// Starts a process while discovery answers nobody.
-fn start_while_discovery_is_silent(site: &Site) -> Process {
+/// Starts a process whose discovery does not answer.
+fn start_with_silent_discovery(fixture: &Fixture) -> Process {
     let silent = Discovery::new();
-    let process = site.spawn_with(silent.address);
-    process.becomes_ready();
+    let process = fixture.spawn_with_discovery(silent.address);
+    process.wait_until_ready();
     process
 }
 
-// What was seen: a broker went on to send to a server for seconds after it was told that it drains. Why: it was upgraded
-// while discovery turned callers away. The process that took over went by the list that its configuration holds, in which
-// the server was up, as only the old process had been told.
+// Guards against sending to a draining server for seconds after an upgrade while discovery rejects calls. The
+// new process used the list from its configuration, in which the server was up; only the old process knew of
+// the drain.
 #[test]
-fn a_server_that_the_old_process_was_told_to_drain_is_not_sent_to_by_the_new_one() {
-    let site = Site::new("drain");
+fn the_new_process_honours_a_drain_that_only_the_old_one_received() {
+    let fixture = Fixture::new("drain");
     let discovery = Discovery::new();
-    let old = site.spawn_with(discovery.address);
+    let old = fixture.spawn_with_discovery(discovery.address);
     let mut call = discovery.call();
     call.open();
-    call.list(&site.list(1, "up"));
-    old.becomes_ready();
-    assert_eq!(site.post_to("before", DRAINS), Outcome::Answered(200));
-    call.list(&site.list(2, "draining"));
-    old.logs("servers: version 2, 1 up, 1 draining");
-    let new = start_while_discovery_is_silent(&site);
-    new.logs(TAKEN_OVER);
-    old.logs("the new process takes clients");
-    assert_eq!(site.post_to("after", DRAINS), Outcome::Answered(503));
-    assert_eq!(site.tiles[DRAINS].count(&format!("after.{DRAINS}")), 0);
+    call.list(&fixture.server_list(1, "up"));
+    old.wait_until_ready();
+    assert_eq!(fixture.query_server("before", DRAINING), Outcome::Answered(200));
+    call.list(&fixture.server_list(2, "draining"));
+    old.wait_for_log("servers: version 2, 1 up, 1 draining");
+    let new = start_with_silent_discovery(&fixture);
+    new.wait_for_log(TAKEN_OVER_LOG);
+    old.wait_for_log("the new process takes clients");
+    assert_eq!(fixture.query_server("after", DRAINING), Outcome::Answered(503));
+    assert_eq!(fixture.tile_servers[DRAINING].count(&format!("after.{DRAINING}")), 0);
     old.stop();
     new.stop();
 }
 
-// A list of its own that is newer than the old process's is what a process goes by.
+// A new process keeps its own list if that is newer than the old process's list.
 #[test]
-fn a_newer_list_of_its_own_is_not_given_up() {
-    let site = Site::with("newer", |_, _| {});
-    let old = start_while_discovery_is_silent(&site);
-    site.configure(|config| {
+fn a_newer_list_of_the_new_process_is_kept() {
+    let fixture = Fixture::with("newer", |_, _| {});
+    let old = start_with_silent_discovery(&fixture);
+    fixture.edit_config(|config| {
         config["known"]["index"] = json!(7);
-        config["known"]["endpoints"][DRAINS]["status"] = json!("draining");
+        config["known"]["endpoints"][DRAINING]["status"] = json!("draining");
     });
-    let new = start_while_discovery_is_silent(&site);
-    new.logs(TAKEN_OVER);
-    old.logs("the new process takes clients");
-    assert_eq!(site.post_to("after", DRAINS), Outcome::Answered(503));
+    let new = start_with_silent_discovery(&fixture);
+    new.wait_for_log(TAKEN_OVER_LOG);
+    old.wait_for_log("the new process takes clients");
+    assert_eq!(fixture.query_server("after", DRAINING), Outcome::Answered(503));
     old.stop();
     new.stop();
 }
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -1,6 +1,6 @@
-//! Upgrades of a running broker: processes of the same broker that take over from each other, on real sockets, while
-//! clients come. The moments between two steps of a hand-over are forced by a discovery that says nothing and by
-//! SIGSTOP.
+//! Upgrades of a running broker: processes of the same broker take over from each other on real sockets while
+//! clients send requests. A discovery that does not answer and SIGSTOP hold a process between two steps of a
+//! hand-over.
 
 #[path = "../program/mod.rs"]
 mod program;
@@ -9,11 +9,11 @@
 
 mod cold;
 mod failures;
+mod fixture;
 mod lists;
 mod load;
 mod process;
 mod queries;
 mod rendezvous;
-mod site;
 mod stream;
 mod tiles;
--- a/tests/upgrade/process.rs
+++ b/tests/upgrade/process.rs
@@ -1,4 +1,4 @@
-//! A broker process of an upgrade, by its log, its control endpoint and its signals.
+//! Controls a broker process through its log, its control endpoint and signals.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use crate::load::{Outcome, exchange};
 use crate::stage::until;
 
-/// A running broker process, which is killed when the test is done with it.
+/// A running broker process, which is killed when dropped.
 pub struct Process {
     child: Child,
     log: PathBuf,
@@ -28,22 +28,22 @@
         Process { child, log }
     }
 
-    /// All lines of its log up to now.
+    /// The process's log up to now.
     pub fn log(&self) -> String {
-        fs::read_to_string(&self.log).expect("a log")
+        fs::read_to_string(&self.log).expect("readable log")
     }
 
-    /// Whether its log has a line with these words.
-    fn has_logged(&self, words: &str) -> bool {
-        self.log().contains(words)
+    /// Whether the log contains this text.
+    fn has_logged(&self, text: &str) -> bool {
+        self.log().contains(text)
     }
 
-    /// Waits for a line of its log.
-    pub fn logs(&self, words: &str) {
-        until(&format!("no line says {words:?}"), || self.has_logged(words));
+    /// Waits until the log contains this text.
+    pub fn wait_for_log(&self, text: &str) {
+        until(&format!("{text:?} is not logged"), || self.has_logged(text));
     }
 
-    /// Where its control endpoint listens, once its log says so.
+    /// The address of the control endpoint, once it is logged.
     fn control(&self) -> Option<SocketAddr> {
         let log = self.log();
         let (_, after) = log.split_once(" listens to operators on ")?;
@@ -51,57 +51,57 @@
         address.trim().parse().ok()
     }
 
-    /// What its control endpoint says of readiness.
+    /// Whether the control endpoint reports readiness.
     pub fn is_ready(&self) -> bool {
         let request = "GET /ops/readiness HTTP/1.1\r\nHost: control\r\n\r\n";
         self.control().is_some_and(|control| exchange(control, request) == Outcome::Answered(200))
     }
 
-    /// Waits until it is ready.
-    pub fn becomes_ready(&self) {
-        until("it does not get ready", || self.is_ready());
+    /// Waits until the process is ready.
+    pub fn wait_until_ready(&self) {
+        until("the process does not become ready", || self.is_ready());
     }
 
     pub fn signal(&self, signal: Signal) {
-        kill_process(Pid::from_child(&self.child), signal).expect("it runs");
+        kill_process(Pid::from_child(&self.child), signal).expect("running");
     }
 
-    /// Holds it: it does nothing until it goes on.
-    pub fn hold(&self) {
+    /// Suspends the process until [`Process::resume`] is called.
+    pub fn suspend(&self) {
         self.signal(Signal::STOP);
-        until("it runs on", || self.thread_states().all(|state| state == 'T'));
+        until("the process is not suspended", || self.thread_states().all(|state| state == 'T'));
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
     fn thread_states(&self) -> impl Iterator<Item = char> + use<> {
-        let tasks = fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it runs");
+        let tasks = fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("running");
         let stat = tasks.flatten().filter_map(|task| fs::read_to_string(task.path().join("stat")).ok());
         stat.filter_map(|stat| stat.rsplit(") ").next()?.chars().next())
     }
 
-    /// Kills it, and waits until it is gone.
+    /// Kills the process and waits for its exit.
     pub fn kill(mut self) {
-        self.child.kill().expect("it runs");
-        self.child.wait().expect("a child");
+        self.child.kill().expect("running");
+        self.child.wait().expect("a child process");
     }
 
-    /// Waits for its end. Gives its exit code.
-    pub fn exit(&mut self) -> Option<i32> {
+    /// Waits for the process's exit and returns its exit code.
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
         let mut code = None;
-        until("it does not end", || {
-            let status = self.child.try_wait().expect("a child");
+        until("the process does not exit", || {
+            let status = self.child.try_wait().expect("a child process");
             code = status.and_then(|status| status.code());
             status.is_some()
         });
         code
     }
 
-    /// Tells it to end, which it has to do with success.
+    /// Stops the process with SIGTERM and checks that it exits with status 0.
     pub fn stop(mut self) {
         self.signal(Signal::TERM);
-        assert_eq!(self.exit(), Some(0), "{}", self.log());
+        assert_eq!(self.wait_for_exit(), Some(0), "{}", self.log());
     }
 }
--- a/tests/upgrade/queries.rs
+++ b/tests/upgrade/queries.rs
@@ -1,33 +1,33 @@
-//! Queries that are open while another process takes over.
+//! Queries that are open during a hand-over.
 
 use std::io::Write;
 use std::net::TcpStream;
 
 use rustix::process::Signal;
 
-use crate::load::{Outcome, read_answer};
-use crate::site::Site;
+use crate::fixture::Fixture;
+use crate::load::{Outcome, read_response};
 use crate::stage::{request, until};
-use crate::tiles::HELD;
+use crate::tiles::DELAYED_PREFIX;
 
 #[test]
-fn a_keyed_query_that_is_open_is_answered_once_by_the_old_process() {
-    let site = Site::new("keyed");
-    let mut old = site.start();
-    let mut client = TcpStream::connect(site.listen).expect("it listens");
-    client.write_all(request("flag", HELD, &[0], 50_000).as_bytes()).expect("written");
-    let part = format!("{HELD}.0");
-    let came = || site.tiles.iter().map(|tile| tile.count(&part)).sum::<u32>();
-    until("the part does not come", || came() == 1);
-    let successor = site.start_successor();
+fn an_open_query_with_an_idempotency_key_is_answered_once_by_the_old_process() {
+    let fixture = Fixture::new("keyed");
+    let mut old = fixture.start();
+    let mut client = TcpStream::connect(fixture.listen).expect("connected");
+    client.write_all(request("flag", DELAYED_PREFIX, &[0], 50_000).as_bytes()).expect("written");
+    let part = format!("{DELAYED_PREFIX}.0");
+    let received = || fixture.tile_servers.iter().map(|server| server.count(&part)).sum::<u32>();
+    until("the part does not arrive", || received() == 1);
+    let successor = fixture.start_successor();
     old.signal(Signal::TERM);
-    old.logs("stopping");
-    site.serves("meanwhile");
-    site.tiles.iter().for_each(|tile| tile.release());
-    assert_eq!(read_answer(&mut client), Outcome::Answered(200));
+    old.wait_for_log("stopping");
+    fixture.assert_serves("meanwhile");
+    fixture.tile_servers.iter().for_each(|server| server.release());
+    assert_eq!(read_response(&mut client), Outcome::Answered(200));
     drop(client);
-    assert_eq!(old.exit(), Some(0), "{}", old.log());
-    site.serves("after");
-    assert_eq!(came(), 1, "the part was sent once");
+    assert_eq!(old.wait_for_exit(), Some(0), "{}", old.log());
+    fixture.assert_serves("after");
+    assert_eq!(received(), 1, "the part was not sent exactly once");
     successor.stop();
 }
--- a/tests/upgrade/rendezvous.rs
+++ b/tests/upgrade/rendezvous.rs
@@ -1,39 +1,39 @@
-//! What may lie at the path where the processes meet.
+//! Existing files at the path of the hand-over socket.
 
 use std::fs;
 use std::os::unix::net::UnixListener;
 
+use crate::fixture::Fixture;
 use crate::load::Load;
-use crate::site::Site;
 
-/// Requests that a stream of clients makes in a phase of an upgrade.
-const SOME: usize = 50;
+/// Minimum number of queries that the clients send in each phase of an upgrade.
+const REQUESTS_PER_PHASE: usize = 50;
 
 #[test]
 fn a_stale_socket_is_replaced() {
-    let site = Site::new("stale");
-    drop(UnixListener::bind(site.rendezvous().path()).expect("bound"));
-    let first = site.start();
-    let second = site.start_successor();
+    let fixture = Fixture::new("stale");
+    drop(UnixListener::bind(fixture.rendezvous().path()).expect("bound"));
+    let first = fixture.start();
+    let second = fixture.start_successor();
     first.stop();
-    site.serves("second");
+    fixture.assert_serves("second");
     second.stop();
 }
 
 #[test]
-fn a_foreign_file_is_left_alone_and_the_start_goes_on_beside_a_running_process() {
-    let site = Site::new("foreign");
-    let path = site.rendezvous().path().to_owned();
-    fs::write(&path, "mine").expect("written");
-    let first = site.start();
-    first.logs("exists and is not a socket");
-    let load = Load::start(site.listen);
-    let second = site.start();
-    second.logs("exists and is not a socket");
-    load.wait_for(SOME);
-    load.end().assert_whole();
-    assert_eq!(fs::read_to_string(&path).expect("there"), "mine");
+fn another_kind_of_file_is_not_touched_and_the_process_starts_beside_a_running_one() {
+    let fixture = Fixture::new("foreign");
+    let path = fixture.rendezvous().path().to_owned();
+    fs::write(&path, "content").expect("written");
+    let first = fixture.start();
+    first.wait_for_log("exists and is not a socket");
+    let load = Load::start(fixture.listen);
+    let second = fixture.start();
+    second.wait_for_log("exists and is not a socket");
+    load.wait_for(REQUESTS_PER_PHASE);
+    load.finish().assert_all_succeeded();
+    assert_eq!(fs::read_to_string(&path).expect("exists"), "content");
     first.stop();
-    site.serves("second");
+    fixture.assert_serves("second");
     second.stop();
 }
--- a/tests/upgrade/stream.rs
+++ b/tests/upgrade/stream.rs
@@ -1,50 +1,50 @@
-//! Upgrades in a row while clients come without a pause.
+//! Successive upgrades under continuous load.
 
 use std::time::{Duration, Instant};
 
+use crate::fixture::{Fixture, TAKEN_OVER_LOG};
 use crate::load::{Load, Outcome};
-use crate::site::{Site, TAKEN_OVER};
 
-/// How many upgrades the test makes, unless `UPGRADES` says otherwise.
-const UPGRADES: usize = 10;
-/// Requests for a part that come between two upgrades at the least.
-const REQUESTS_BETWEEN: usize = 100;
+/// Default number of upgrades, which the environment variable `UPGRADES` overrides.
+const DEFAULT_UPGRADES: usize = 10;
+/// Minimum number of queries between two upgrades.
+const QUERIES_BETWEEN_UPGRADES: usize = 100;
 
 fn upgrades() -> usize {
-    std::env::var("UPGRADES").map_or(UPGRADES, |word| word.parse().expect("a number"))
+    std::env::var("UPGRADES").map_or(DEFAULT_UPGRADES, |count| count.parse().expect("a number"))
 }
 
 #[test]
-fn clients_lose_nothing_to_upgrades_in_a_row() {
-    let site = Site::new("row");
-    let mut running = site.start();
-    let load = Load::start(site.listen);
+fn successive_upgrades_lose_no_requests() {
+    let fixture = Fixture::new("row");
+    let mut running = fixture.start();
+    let load = Load::start(fixture.listen);
     let mut ready_times: Vec<Duration> = Vec::new();
     for _ in 0..upgrades() {
-        load.wait_for(REQUESTS_BETWEEN);
-        let begun = Instant::now();
-        let successor = site.start();
-        ready_times.push(begun.elapsed());
-        successor.logs(TAKEN_OVER);
-        successor.logs("sockets of the running process are taken over");
+        load.wait_for(QUERIES_BETWEEN_UPGRADES);
+        let started = Instant::now();
+        let successor = fixture.start();
+        ready_times.push(started.elapsed());
+        successor.wait_for_log(TAKEN_OVER_LOG);
+        successor.wait_for_log("sockets of the running process are taken over");
         std::mem::replace(&mut running, successor).stop();
     }
-    load.wait_for(REQUESTS_BETWEEN);
-    let tally = load.end();
+    load.wait_for(QUERIES_BETWEEN_UPGRADES);
+    let outcomes = load.finish();
     ready_times.sort();
     println!(
-        "{} upgrades, {} requests: {} without a whole answer ({} refused, {} reset, {} closed unread); ready after {:.1} \
-         ms (median), {:.1} ms (worst)\n{tally:?}",
+        "{} upgrades, {} requests: {} without a complete response ({} refused, {} reset, {} closed without a \
+         response); ready after {:.1} ms (median), {:.1} ms (maximum)\n{outcomes:?}",
         ready_times.len(),
-        tally.total(),
-        tally.lost(),
-        tally.count(|outcome| *outcome == Outcome::Refused),
-        tally.count(|outcome| *outcome == Outcome::Reset),
-        tally.count(|outcome| *outcome == Outcome::ClosedUnread),
+        outcomes.total(),
+        outcomes.lost(),
+        outcomes.count(|outcome| *outcome == Outcome::Refused),
+        outcomes.count(|outcome| *outcome == Outcome::Reset),
+        outcomes.count(|outcome| *outcome == Outcome::ClosedWithoutResponse),
         ready_times[ready_times.len() / 2].as_secs_f64() * 1e3,
         ready_times[ready_times.len() - 1].as_secs_f64() * 1e3,
     );
-    tally.assert_whole();
-    tally.assert_up_throughout();
+    outcomes.assert_all_succeeded();
+    outcomes.assert_always_up();
     running.stop();
 }
--- a/tests/upgrade/tiles.rs
+++ b/tests/upgrade/tiles.rs
@@ -1,4 +1,5 @@
-//! Stand-in tile servers that answer by themselves, and a stand-in discovery that always has the same list.
+//! Simulated tile servers that answer by themselves, and a simulated discovery that always sends the same
+//! list.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -11,69 +12,70 @@
 
 use crate::stage::WATCH;
 
-/// Parts of requests whose id begins with this wait until the test lets them go.
-pub const HELD: &str = "held";
+/// Parts of queries whose id starts with this are answered only after [`TileServer::release`].
+pub const DELAYED_PREFIX: &str = "held";
 
-/// What a tile server has seen, and whether it answers what is held.
+/// State shared by the threads of a tile server.
 #[derive(Default)]
-struct Seen {
-    /// How often each part came.
+struct State {
+    /// How often each part was received.
     parts: Mutex<HashMap<String, u32>>,
-    /// When the parts came.
+    /// When parts were received.
     arrivals: Mutex<Vec<Instant>>,
+    /// Whether delayed parts are answered.
     released: Mutex<bool>,
     release: Condvar,
 }
 
-/// A stand-in tile server.
+/// A simulated tile server.
 pub struct TileServer {
     pub address: SocketAddr,
-    seen: Arc<Seen>,
+    state: Arc<State>,
 }
 
 impl TileServer {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let seen = Arc::new(Seen::default());
-        let shared = seen.clone();
+        let state = Arc::new(State::default());
+        let shared = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let seen = shared.clone();
-                thread::spawn(move || serve(stream, &seen));
+                let state = shared.clone();
+                thread::spawn(move || serve(stream, &state));
             }
         });
-        TileServer { address, seen }
+        TileServer { address, state }
     }
 
-    /// How often this part has come.
+    /// How often this part was received.
     pub fn count(&self, part: &str) -> u32 {
-        self.seen.parts.lock().expect("sound").get(part).copied().unwrap_or(0)
+        self.state.parts.lock().expect("lock not poisoned").get(part).copied().unwrap_or(0)
     }
 
-    /// The most parts that came within any span of this length.
-    pub fn most_within(&self, span: Duration) -> usize {
-        let arrivals = self.seen.arrivals.lock().expect("sound");
+    /// The maximum number of parts received within any period of this length.
+    pub fn max_within(&self, period: Duration) -> usize {
+        let arrivals = self.state.arrivals.lock().expect("lock not poisoned");
         let within =
-            |first: &Instant| arrivals.iter().filter(|at| **at >= *first && **at < *first + span).count();
+            |first: &Instant| arrivals.iter().filter(|at| **at >= *first && **at < *first + period).count();
         arrivals.iter().map(within).max().unwrap_or(0)
     }
 
-    /// Whether no part has come for so long.
-    pub fn quiet_for(&self, span: Duration) -> bool {
-        let arrivals = self.seen.arrivals.lock().expect("sound");
-        arrivals.last().is_none_or(|last| last.elapsed() > span)
+    /// Whether no part was received for this long.
+    pub fn is_idle_for(&self, period: Duration) -> bool {
+        let arrivals = self.state.arrivals.lock().expect("lock not poisoned");
+        arrivals.last().is_none_or(|last| last.elapsed() > period)
     }
 
-    /// Answers what is held, from now on.
+    /// Answers delayed parts from now on.
     pub fn release(&self) {
-        *self.seen.released.lock().expect("sound") = true;
-        self.seen.release.notify_all();
+        *self.state.released.lock().expect("lock not poisoned") = true;
+        self.state.release.notify_all();
     }
 }
 
-/// Serves one connection until it ends.
-fn serve(mut stream: TcpStream, seen: &Arc<Seen>) {
+/// Serves one connection until it is closed.
+fn serve(mut stream: TcpStream, state: &Arc<State>) {
     let _ = stream.set_nodelay(true);
     while let Ok(frame) = read_frame(&mut stream) {
         let Some(part) = frame.strip_prefix('q').and_then(|rest| rest.split(' ').next()) else {
@@ -82,15 +84,15 @@
             }
             continue;
         };
-        *seen.parts.lock().expect("sound").entry(part.to_owned()).or_default() += 1;
-        seen.arrivals.lock().expect("sound").push(Instant::now());
+        *state.parts.lock().expect("lock not poisoned").entry(part.to_owned()).or_default() += 1;
+        state.arrivals.lock().expect("lock not poisoned").push(Instant::now());
         let answer = format!("a{part} served 1 -\nv");
-        if part.starts_with(HELD) {
-            let (Ok(mut later), seen) = (stream.try_clone(), seen.clone()) else { return };
+        if part.starts_with(DELAYED_PREFIX) {
+            let (Ok(mut stream), state) = (stream.try_clone(), state.clone()) else { return };
             thread::spawn(move || {
-                let released = seen.released.lock().expect("sound");
-                drop(seen.release.wait_while(released, |released| !*released).expect("sound"));
-                let _ = write_frame(&mut later, &answer);
+                let released = state.released.lock().expect("lock not poisoned");
+                drop(state.release.wait_while(released, |released| !*released).expect("lock not poisoned"));
+                let _ = write_frame(&mut stream, &answer);
             });
         } else if write_frame(&mut stream, &answer).is_err() {
             return;
@@ -112,8 +114,8 @@
     stream.write_all(&bytes)
 }
 
-/// Starts a discovery that answers each call with this list on a watch that stays open.
-pub fn serve_lists(list: &Value) -> SocketAddr {
+/// Starts a discovery that answers each call with this list and keeps the connection open.
+pub fn start_discovery(list: &Value) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     let line = format!("{list}\n");
@@ -121,14 +123,14 @@
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let answer = answer.clone();
-            thread::spawn(move || serve_list(stream, &answer));
+            thread::spawn(move || serve_watch(stream, &answer));
         }
     });
     address
 }
 
-/// Answers one call, and holds it until its caller ends it.
-fn serve_list(mut stream: TcpStream, answer: &str) {
+/// Answers one call and keeps its connection open until the client closes it.
+fn serve_watch(mut stream: TcpStream, answer: &str) {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
         match stream.read(&mut byte) {
