--- a/crates/discovery/src/schedule.rs
+++ b/crates/discovery/src/schedule.rs
@@ -15,8 +15,8 @@
 
 /// Discovery sends an empty line every 2 s. A watch that has received nothing for 0.5 s longer has failed.
 pub const WATCH_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A change is deemed delivered this long after discovery had it and could be reached, whatever became of the
-/// calls.
+/// A change is deemed delivered this long after discovery had it and could be reached, regardless of the
+/// outcome of calls.
 pub const DELIVERY_DEADLINE: Duration = Duration::from_secs(6);
 /// A call to a shared discovery waits in its queue. Discovery no longer answers a call that has waited this
 /// long.
@@ -129,7 +129,7 @@
 
 /// Schedules the calls to discovery. Delays are drawn at random, so that brokers that start or fail together
 /// do not keep calling together. No delay is so long that a change would arrive after it is deemed delivered,
-/// whatever became of the previous call.
+/// regardless of the previous call's outcome.
 #[derive(Clone, Debug)]
 pub struct CallSchedule {
     source: Source,
