--- a/src/broker.rs
+++ b/src/broker.rs
@@ -25,7 +25,7 @@
 use crate::config::settings::SiteSettings;
 use crate::control::{Endpoint, EndpointConfig, Operations, Statistics};
 use crate::core::{Command, Core};
-use crate::discovery::{Listing, Pace, Source, Watch};
+use crate::discovery::{CallSchedule, ServerList, Source, Watch};
 use crate::front::{Front, Pending};
 use crate::interface::{LoadReport, Time, Verdict};
 use crate::inventory::Inventory;
@@ -175,7 +175,7 @@
             tracing::info!("{} listens to operators on {}", config.name, endpoint.address());
         }
         let mut backend = Backend::new(settings.clone(), max_backend_connections);
-        let known = config.known.take().map(|known| Listing::from_value(&known, &clock)).transpose();
+        let known = config.known.take().map(|known| ServerList::from_value(&known, &clock)).transpose();
         let mut known = known.map_err(|error| invalid(format!("known.{error}")))?;
         let directory = has_control.then(shared_directory).flatten();
         let (mut upgrade, offer) =
@@ -184,7 +184,7 @@
         known = newer_list(known, offer.as_ref(), &clock);
         let store = open_store(&config, clock, &mut known, offer.is_some())?;
         if let Some(list) = &mut known {
-            list.whole = true;
+            list.is_full = true;
             apply_list(&mut core, &mut backend, list, None);
         }
         let mut inventory = config.ogc.as_ref().and_then(|ogc| ogc.inventory.clone()).map(Inventory::new);
@@ -198,8 +198,8 @@
             apply_list(&mut core, &mut backend, &list, None);
         }
         let watch = config.discovery.filter(|_| inventory.is_none()).map(|at| {
-            let source = Source::of(&settings.router, settings.drain_grace);
-            Watch::new(at, known.as_ref(), clock, Pace::new(clock.now(), source, config.seed))
+            let source = Source::from_settings(&settings.router, settings.drain_grace);
+            Watch::new(at, known.as_ref(), clock, CallSchedule::new(clock.now(), source, config.seed))
         });
         let peers = config.peers.take().filter(|(_, addresses)| {
             core.gossip_enabled() && addresses.len() == settings.router.front_nodes as usize
@@ -271,7 +271,7 @@
         let ready_at = broker.net.clock.now();
         broker.apply_drain_request(ready_at);
         broker.publish_state();
-        let first_list = match broker.watch.as_ref().is_some_and(Watch::has_told) {
+        let first_list = match broker.watch.as_ref().is_some_and(Watch::has_received_list) {
             true => "received",
             false if broker.core.can_serve() => "last known",
             false => "none, not ready",
@@ -290,9 +290,10 @@
     /// the discovery agent already has is deemed delivered when the process starts, and the last known list
     /// may show a server as up that is draining or removed.
     fn wait_for_first_list(&mut self) -> io::Result<()> {
-        let source = Source::of(&self.settings.router, self.settings.drain_grace);
-        let until = self.net.clock.now().after(source.first_list());
-        let is_waiting = |broker: &Self| broker.watch.as_ref().is_some_and(|watch| !watch.has_told());
+        let source = Source::from_settings(&self.settings.router, self.settings.drain_grace);
+        let until = self.net.clock.now().after(source.first_list_timeout());
+        let is_waiting =
+            |broker: &Self| broker.watch.as_ref().is_some_and(|watch| !watch.has_received_list());
         let (mut ready, mut due) = (Vec::new(), Vec::new());
         while is_waiting(self) && !self.lifecycle.is_stopping() && self.net.clock.now() < until {
             self.run_iteration(&mut ready, &mut due, Some(until))?;
--- a/src/broker/discovery.rs
+++ b/src/broker/discovery.rs
@@ -4,7 +4,7 @@
 use super::DISCOVERY_KEY;
 use crate::backend::Backend;
 use crate::core::Core;
-use crate::discovery::{Listing, Phase, Told, Watch, WatchError};
+use crate::discovery::{ListUpdate, Phase, ServerList, Watch, WatchError};
 use crate::interface::{ServerState, Time};
 use crate::net::TimerEvent;
 
@@ -15,11 +15,11 @@
 impl Broker {
     /// Ends an expired watch, applies an older list that is due, and connects if the schedule allows it.
     pub(super) fn update_watch(&mut self, now: Time) {
-        if let Some(error) = self.watch.as_ref().and_then(|watch| watch.is_over(now)) {
+        if let Some(error) = self.watch.as_ref().and_then(|watch| watch.timeout_error(now)) {
             self.end_watch(now, &error);
         }
         let Some(watch) = &mut self.watch else { return };
-        if let Some(list) = watch.believe(now) {
+        if let Some(list) = watch.accept_older_list(now) {
             self.apply_update(now, &list, None);
         }
         let Some(watch) = &mut self.watch else { return };
@@ -39,11 +39,11 @@
     pub(super) fn watch_ready(&mut self, now: Time) {
         let Some(watch) = &mut self.watch else { return };
         let mut lists = Vec::new();
-        let result = watch.ready(now, &mut lists);
-        for Told { list, at_once } in lists {
+        let result = watch.on_ready(now, &mut lists);
+        for ListUpdate { list, is_live } in lists {
             // The list arrived after the last poll, and may have waited since then.
             let send_until = self.polled_at.after(self.settings.drain_grace / DRAIN_GRACE_DIVISOR);
-            self.apply_update(now, &list, Some(send_until).filter(|until| at_once && *until > now));
+            self.apply_update(now, &list, Some(send_until).filter(|until| is_live && *until > now));
         }
         let Some(watch) = &mut self.watch else { return };
         match (result, watch.stream()) {
@@ -58,7 +58,7 @@
 
     /// Applies a list from discovery. Servers that it shows as draining may get attempts until
     /// `send_until`, if given.
-    pub(super) fn apply_update(&mut self, now: Time, list: &Listing, send_until: Option<Time>) {
+    pub(super) fn apply_update(&mut self, now: Time, list: &ServerList, send_until: Option<Time>) {
         apply_list(&mut self.core, &mut self.backend, list, send_until);
         let draining = list.members.iter().filter(|(member, _)| member.state == ServerState::Draining);
         for (member, _) in draining {
@@ -83,10 +83,10 @@
 
     /// Ends the current watch after an error; the next one starts by schedule.
     pub(super) fn end_watch(&mut self, now: Time, error: &WatchError) {
-        let was_working = |watch: &Watch| matches!(watch.phase(), Phase::Open(_) | Phase::List(_));
+        let was_working = |watch: &Watch| matches!(watch.phase(), Phase::Open(_) | Phase::ReadingList(_));
         self.watch_failure_logged &= !self.watch.as_ref().is_some_and(was_working);
         self.log_watch_failure(error);
-        if let Some(stream) = self.watch.as_mut().and_then(|watch| watch.drop_link(now)) {
+        if let Some(stream) = self.watch.as_mut().and_then(|watch| watch.disconnect(now)) {
             self.net.poll.remove(&stream);
         }
         self.core.servers_failed();
@@ -106,9 +106,14 @@
 }
 
 /// Passes a list to the core, and the addresses of the servers that are up to the backend.
-pub(super) fn apply_list(core: &mut Core, backend: &mut Backend, list: &Listing, send_until: Option<Time>) {
+pub(super) fn apply_list(
+    core: &mut Core,
+    backend: &mut Backend,
+    list: &ServerList,
+    send_until: Option<Time>,
+) {
     let members: Vec<_> = list.members.iter().map(|(member, _)| member.clone()).collect();
-    for server in core.apply_server_list(list.whole, list.index, &members, send_until) {
+    for server in core.apply_server_list(list.is_full, list.index, &members, send_until) {
         backend.shut(server);
     }
     let (up, draining) = core.server_counts();
--- a/src/broker/upgrade.rs
+++ b/src/broker/upgrade.rs
@@ -7,7 +7,7 @@
 
 use super::{Broker, OGC_LISTENER_KEY, PEERS_KEY};
 use crate::config::Config;
-use crate::discovery::{Listing, Watch};
+use crate::discovery::{ServerList, Watch};
 use crate::handover::{ClientLimits, Offer, PredecessorAction, SocketRole, joint_client_limits};
 use crate::interface::Time;
 use crate::net::clock::Clock;
@@ -24,7 +24,7 @@
             PredecessorAction::Offer => self.offer_sockets(now),
             PredecessorAction::StopAccepting => self.stop_accepting(now),
             PredecessorAction::ResumeAccepting => self.resume_accepting(now),
-            PredecessorAction::UseWholeLimits => self.restore_client_limit(),
+            PredecessorAction::UseFullLimits => self.restore_client_limit(),
         }
     }
 
@@ -44,7 +44,7 @@
             roles.push(SocketRole::Peers);
             sockets.push(peers.socket.as_fd());
         }
-        let list = self.watch.as_ref().map(|watch| watch.listing().to_value(&self.net.clock).to_string());
+        let list = self.watch.as_ref().map(|watch| watch.server_list().to_value(&self.net.clock).to_string());
         let offer = Offer { roles, clients: self.clients.len(), snapshot, list };
         upgrade.send_offer(&self.net, offer, &sockets);
         self.max_clients = self.max_clients.min(limits.predecessor);
@@ -126,7 +126,7 @@
         if self.store.is_some() {
             return;
         }
-        let mut known = self.watch.as_ref().map(Watch::listing);
+        let mut known = self.watch.as_ref().map(Watch::server_list);
         match StateStore::open(&self.config, self.net.clock, &mut known) {
             Ok(store) => self.store = store,
             Err(error) => {
@@ -134,7 +134,7 @@
             }
         }
         if let (Some(store), Some(watch)) = (&mut self.store, &self.watch) {
-            store.record_list(&watch.listing());
+            store.record_list(&watch.server_list());
         }
     }
 
@@ -177,10 +177,14 @@
 /// The server list a process starts with: its own last known list, or the predecessor's if that is at least
 /// as new. Discovery may be unreachable at the start, and the process's own list may show a server as up that
 /// the predecessor knows to be draining.
-pub(super) fn newer_list(known: Option<Listing>, offer: Option<&Offer>, clock: &Clock) -> Option<Listing> {
+pub(super) fn newer_list(
+    known: Option<ServerList>,
+    offer: Option<&Offer>,
+    clock: &Clock,
+) -> Option<ServerList> {
     let Some(list) = offer.and_then(|offer| offer.list.as_deref()) else { return known };
     let value = serde_json::from_str::<Value>(list).map_err(|error| error.to_string());
-    match value.and_then(|value| Listing::from_value(&value, clock).map_err(|error| error.to_string())) {
+    match value.and_then(|value| ServerList::from_value(&value, clock).map_err(|error| error.to_string())) {
         Ok(list) if known.as_ref().is_none_or(|known| list.index >= known.index) => Some(list),
         Ok(_) => known,
         Err(error) => {
@@ -195,7 +199,7 @@
 pub(super) fn open_store(
     config: &Config,
     clock: Clock,
-    known: &mut Option<Listing>,
+    known: &mut Option<ServerList>,
     is_successor: bool,
 ) -> io::Result<Option<StateStore>> {
     match StateStore::open(config, clock, known) {
--- a/src/state.rs
+++ b/src/state.rs
@@ -14,7 +14,7 @@
 
 use crate::config::Config;
 use crate::core::Member;
-use crate::discovery::Listing;
+use crate::discovery::ServerList;
 use crate::interface::ServerState;
 use crate::net::clock::Clock;
 
@@ -69,7 +69,7 @@
 pub fn resolve_stored(
     clock: &Clock,
     discovery: &str,
-    known: Option<&Listing>,
+    known: Option<&ServerList>,
     stored: &StoredState,
 ) -> Result<BTreeMap<String, Resolution>, String> {
     let members = known.map_or(&[][..], |list| &list.members);
@@ -85,11 +85,11 @@
 /// The start list with the stored records that were chosen.
 fn apply_resolutions(
     clock: &Clock,
-    known: Option<Listing>,
+    known: Option<ServerList>,
     resolutions: &BTreeMap<String, Resolution>,
     stored: &StoredState,
-) -> Listing {
-    let known = known.unwrap_or(Listing { index: 0, whole: true, members: Vec::new() });
+) -> ServerList {
+    let known = known.unwrap_or(ServerList { index: 0, is_full: true, members: Vec::new() });
     let mut members: BTreeMap<String, (Member, Option<SocketAddr>)> =
         known.members.into_iter().map(|entry| (entry.0.name.clone(), entry)).collect();
     for (name, resolution) in resolutions.iter().filter(|(_, resolution)| resolution.from_store) {
@@ -107,7 +107,7 @@
         let member = Member { name: name.clone(), zone, cell, state, started };
         members.insert(name.clone(), (member, server.address));
     }
-    Listing { members: members.into_values().collect(), ..known }
+    ServerList { members: members.into_values().collect(), ..known }
 }
 
 impl StateStore {
@@ -117,7 +117,7 @@
     /// # Errors
     ///
     /// Returns an error if another process has the store open, or a new one can't be created.
-    pub fn open(config: &Config, clock: Clock, known: &mut Option<Listing>) -> io::Result<Option<Self>> {
+    pub fn open(config: &Config, clock: Clock, known: &mut Option<ServerList>) -> io::Result<Option<Self>> {
         let (Some(path), Some(discovery)) = (&config.service.store, config.discovery) else {
             return Ok(None);
         };
@@ -169,7 +169,7 @@
     }
 
     /// Records a list received from discovery.
-    pub fn record_list(&mut self, list: &Listing) {
+    pub fn record_list(&mut self, list: &ServerList) {
         let noted_ms = unix_ms();
         let mut changes = BTreeMap::new();
         let mut present = BTreeSet::new();
@@ -186,7 +186,7 @@
             }
             changes.insert(member.name.clone(), Some(server));
         }
-        if list.whole {
+        if list.is_full {
             // A full list removes a server by omission: the omitted server is gone, whichever process of it
             // older lists name.
             for name in self.listed.difference(&present).cloned().collect::<Vec<_>>() {
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -21,16 +21,16 @@
         listed: BTreeSet::new(),
         removed: VecDeque::new(),
     };
-    let full_list = |index, members| Listing { index, whole: true, members };
+    let full_list = |index, members| ServerList { index, is_full: true, members };
     state_store.record_list(&full_list(1, vec![member("a", ServerState::Up), member("b", ServerState::Up)]));
     state_store.record_list(&full_list(2, vec![member("a", ServerState::Draining)]));
     let update = vec![member("c", ServerState::Up)];
-    state_store.record_list(&Listing { index: 3, whole: false, members: update });
+    state_store.record_list(&ServerList { index: 3, is_full: false, members: update });
     for n in 0..300 {
         let update = vec![member(&format!("x{n}"), ServerState::Up)];
-        state_store.record_list(&Listing { index: 4 + n, whole: false, members: update });
+        state_store.record_list(&ServerList { index: 4 + n, is_full: false, members: update });
         let update = vec![member(&format!("x{n}"), ServerState::Removed)];
-        state_store.record_list(&Listing { index: 4 + n, whole: false, members: update });
+        state_store.record_list(&ServerList { index: 4 + n, is_full: false, members: update });
     }
     drop(state_store);
     let (_, stored) = Store::open(&path, &owner).expect("the store opens");
@@ -46,9 +46,9 @@
 #[test]
 fn the_start_list_includes_the_chosen_records() {
     let clock = Clock::start();
-    let known = Listing {
+    let known = ServerList {
         index: 3,
-        whole: true,
+        is_full: true,
         members: vec![
             member("drains", ServerState::Up),
             member("gone", ServerState::Up),
--- a/src/upgrade.rs
+++ b/src/upgrade.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 use crate::handover::{
-    Channel, ChannelError, Message, Offer, Predecessor, PredecessorAction, PredecessorEvent,
-    PredecessorPhase, Refusal, Rendezvous, Request, SocketRole, Successor, SuccessorAction, SuccessorEvent,
-    VERSION,
+    Channel, ChannelError, Message, Offer, PROTOCOL_VERSION, Predecessor, PredecessorAction,
+    PredecessorEvent, PredecessorPhase, Refusal, Rendezvous, Request, SocketRole, Successor, SuccessorAction,
+    SuccessorEvent,
 };
 use crate::net::Net;
 
@@ -55,12 +55,12 @@
     /// Asks a process running under this name and address, if any, for a hand-over and waits up to
     /// `OFFER_TIMEOUT` for its offer.
     pub fn start(directory: &Path, name: &str, listen: SocketAddr) -> (Self, Option<Offer>) {
-        let request = Request { version: VERSION, name: name.to_owned(), listen };
+        let request = Request { version: PROTOCOL_VERSION, name: name.to_owned(), listen };
         let mut upgrade = Upgrade {
             rendezvous: Rendezvous::new(directory, name, listen),
             request,
             listener: None,
-            successor: Successor::alone(),
+            successor: Successor::standalone(),
             predecessor_busy: false,
             predecessor_channel: None,
             adopted: Vec::new(),
@@ -299,7 +299,7 @@
                 net.poll.remove(channel.stream());
                 self.predecessor_channel = None;
                 match self.successor.handle(SuccessorEvent::PredecessorEnded) {
-                    SuccessorAction::UseWholeLimits => PredecessorUpdate::Ended,
+                    SuccessorAction::UseFullLimits => PredecessorUpdate::Ended,
                     _ => PredecessorUpdate::None,
                 }
             }
