--- a/src/bin/badgergauge/store.rs
+++ b/src/bin/badgergauge/store.rs
@@ -74,7 +74,7 @@
     println!("sound: {} servers", stored.servers.len());
     let config = Config::from_env().map_err(plain)?;
     let clock = Clock::start();
-    let known = config.known.as_ref().map(|known| Listing::from_value(known, &clock)).transpose();
+    let known = config.known_servers.as_ref().map(|known| Listing::from_value(known, &clock)).transpose();
     let known = known.map_err(|error| error.to_string())?;
     let discovery = config.discovery.map_or(String::new(), |at| at.to_string());
     match state::beliefs(&clock, &discovery, known.as_ref(), &stored) {
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -21,8 +21,8 @@
 use self::signals::SignalFlags;
 use self::upgrade::{newer_list, open_store};
 use crate::backend::{Backend, Done, Flushed};
-use crate::config::Config;
 use crate::config::settings::SiteSettings;
+use crate::config::{Config, PeerAddresses};
 use crate::control::{Endpoint, EndpointConfig, Operations, Statistics};
 use crate::core::{Command, Core};
 use crate::discovery::{Listing, Pace, Source, Watch};
@@ -139,15 +139,15 @@
         let mut core =
             Core::new(settings.clone(), config.seed).map_err(|error| invalid(error.to_string()))?;
         let trace = TraceRecorder::start(&config, &clock, &mut core)?;
-        let backend_links = config.bounds.sockets / 4;
-        let memory = config.bounds.memory_mb * 1024 * 1024;
+        let backend_links = config.limits.sockets / 4;
+        let memory = config.limits.memory_mb * 1024 * 1024;
         let by_memory = memory / CLIENT_SHARE / CLIENT_MEMORY;
         let is_operated = config.control.is_some();
-        let max_connections = config.bounds.sockets / OPERATOR_SHARE;
+        let max_connections = config.limits.sockets / OPERATOR_SHARE;
         let endpoint = config.control.map(|address| EndpointConfig { address, max_connections });
         let reserved = RESERVED + endpoint.map_or(0, |endpoint| endpoint.max_descriptors());
         let fixed_descriptors = reserved + backend_links;
-        let by_descriptors = config.bounds.sockets.saturating_sub(fixed_descriptors);
+        let by_descriptors = config.limits.sockets.saturating_sub(fixed_descriptors);
         let most_clients = by_descriptors.min(by_memory).max(1);
         let operations = Arc::new(Operations::new(Statistics::new(&settings.classes)));
         if let Some(endpoint) = endpoint {
@@ -156,7 +156,7 @@
             tracing::info!("{} listens to operators on {}", config.name, endpoint.address());
         }
         let mut backend = Backend::new(settings.clone(), backend_links);
-        let known = config.known.take().map(|known| Listing::from_value(&known, &clock)).transpose();
+        let known = config.known_servers.take().map(|known| Listing::from_value(&known, &clock)).transpose();
         let mut known = known.map_err(|fault| invalid(format!("known.{fault}")))?;
         let folder = is_operated.then(shared_folder).flatten();
         let (mut upgrade, offer) =
@@ -182,14 +182,13 @@
             let source = Source::of(&settings.router, settings.drain_grace);
             Watch::new(at, known.as_ref(), clock, Pace::new(clock.now(), source, config.seed))
         });
-        let peers = config
-            .peers
-            .take()
-            .filter(|(_, all)| core.gossip_enabled() && all.len() == settings.router.front_nodes as usize);
-        let peers = peers.map(|(at, all)| {
-            let adopted = upgrade.as_mut().and_then(|upgrade: &mut Upgrade| upgrade.take_datagrams(at));
-            let socket = adopted.map_or_else(|| bind_udp(at, is_operated), Ok);
-            socket.map(|socket| (socket, all))
+        let peers = config.peers.take().filter(|peers| {
+            core.gossip_enabled() && peers.brokers.len() == settings.router.front_nodes as usize
+        });
+        let peers = peers.map(|PeerAddresses { listen, brokers }| {
+            let adopted = upgrade.as_mut().and_then(|upgrade: &mut Upgrade| upgrade.take_datagrams(listen));
+            let socket = adopted.map_or_else(|| bind_udp(listen, is_operated), Ok);
+            socket.map(|socket| (socket, brokers))
         });
         let peers = peers.transpose().map_err(|error| invalid(format!("peer_listen: {error}")))?;
         let front = Front::new(settings.clone(), config.ogc.clone(), config.seed);
--- a/src/broker/signals.rs
+++ b/src/broker/signals.rs
@@ -46,14 +46,14 @@
 
     /// Reads the configuration again, whole or not at all, and moves the watch to where it says.
     pub(super) fn reload(&mut self, now: Time) {
-        let config = match Config::reread() {
+        let config = match Config::reload() {
             Ok(config) => config,
             Err(error) => {
                 tracing::warn!("not reloaded: {error}");
                 return;
             }
         };
-        let mut kept = config.kept_until_restart(&self.config);
+        let mut kept = config.changes_needing_restart(&self.config);
         match &mut self.trace {
             Some(trace) => kept.extend(trace.reload(config.service.trace.as_ref())),
             None if config.service.trace.is_some() => kept.push("trace"),
--- a/src/broker/upgrade.rs
+++ b/src/broker/upgrade.rs
@@ -53,7 +53,7 @@
 
     /// How many clients this process and another one beside it may hold.
     fn joint_limits(&self, predecessor_clients: usize) -> ClientLimits {
-        joint_client_limits(self.config.bounds.sockets, self.fixed_descriptors, predecessor_clients)
+        joint_client_limits(self.config.limits.sockets, self.fixed_descriptors, predecessor_clients)
     }
 
     /// The successor takes the clients from now on. The sockets are kept, in case that it fails.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -12,26 +12,26 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use self::ogc::Ogc;
-use self::service::Service;
+use self::ogc::OgcConfig;
+use self::service::ServiceConfig;
 use self::settings::SiteSettings;
 
 /// What is wrong with the configuration, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     /// The variable or file.
-    pub place: String,
+    pub location: String,
     /// The key in it; empty where the whole is at fault.
     pub key: String,
     /// What is wrong.
-    pub fault: String,
+    pub problem: String,
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.key.as_str() {
-            "" => write!(f, "{}: {}", self.place, self.fault),
-            key => write!(f, "{}: {key}: {}", self.place, self.fault),
+            "" => write!(f, "{}: {}", self.location, self.problem),
+            key => write!(f, "{}: {key}: {}", self.location, self.problem),
         }
     }
 }
@@ -40,40 +40,40 @@
 
 /// All that is wrong, at least one fault. It is displayed as the first.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faults(pub Vec<ConfigError>);
+pub struct ConfigErrors(pub Vec<ConfigError>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.first().map_or(Ok(()), |first| first.fmt(f))
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ConfigErrors {}
 
-impl From<ConfigError> for Faults {
+impl From<ConfigError> for ConfigErrors {
     fn from(error: ConfigError) -> Self {
-        Faults(vec![error])
+        ConfigErrors(vec![error])
     }
 }
 
 /// The limits a broker keeps within.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct ResourceLimits {
     /// Memory, in MB.
     pub memory_mb: usize,
     /// Open descriptors.
     pub sockets: usize,
 }
 
-impl Bounds {
+impl ResourceLimits {
     /// Keeps to what the process may open, whatever the configuration says: what clients take beyond that, discovery
     /// and servers would lack.
-    fn keep_to_process(&mut self) -> Result<(), String> {
+    fn cap_to_process_limit(&mut self) -> Result<(), String> {
         let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let limit = limit.and_then(|limit| usize::try_from(limit).ok()).unwrap_or(usize::MAX);
-        if limit < LEAST_SOCKETS {
+        if limit < MIN_SOCKETS {
             return Err(format!(
-                "the process may open {limit} descriptors, which is under {LEAST_SOCKETS}: raise its limit (ulimit -n)"
+                "the process may open {limit} descriptors, which is under {MIN_SOCKETS}: raise its limit (ulimit -n)"
             ));
         }
         self.sockets = self.sockets.min(limit);
@@ -82,9 +82,18 @@
 }
 
 /// What holds on the platform's busiest days, and where nothing is said.
-const BOUNDS: Bounds = Bounds { memory_mb: 192, sockets: 1024 };
+const DEFAULT_LIMITS: ResourceLimits = ResourceLimits { memory_mb: 192, sockets: 1024 };
 /// Under this many descriptors a broker can't reach its servers and its clients.
-const LEAST_SOCKETS: usize = 64;
+const MIN_SOCKETS: usize = 64;
+
+/// Addresses for the messages between brokers.
+#[derive(Clone, Debug)]
+pub struct PeerAddresses {
+    /// Address that this broker receives messages on.
+    pub listen: SocketAddr,
+    /// Address of each broker, by its index; includes this broker.
+    pub brokers: Vec<SocketAddr>,
+}
 
 /// All that a broker is told at its start.
 #[derive(Clone, Debug)]
@@ -100,19 +109,19 @@
     /// For random numbers.
     pub seed: u64,
     /// Its limits.
-    pub bounds: Bounds,
+    pub limits: ResourceLimits,
     /// The settings.
     pub settings: SiteSettings,
     /// Where word from other brokers comes, and where each of them hears it, by number.
-    pub peers: Option<(SocketAddr, Vec<SocketAddr>)>,
+    pub peers: Option<PeerAddresses>,
     /// The list of servers as it last had it, in discovery's form.
-    pub known: Option<Value>,
+    pub known_servers: Option<Value>,
     /// The settings as they were given, without spaces.
     pub settings_json: String,
     /// The OGC front, where it has a file.
-    pub ogc: Option<Ogc>,
+    pub ogc: Option<OgcConfig>,
     /// What the operator's file switches on.
-    pub service: Service,
+    pub service: ServiceConfig,
 }
 
 /// The OGC front's file, unless `BALANCER_OGC` names another.
@@ -159,7 +168,7 @@
     /// # Errors
     ///
     /// Names each variable, or file and key, at fault.
-    pub fn from_env() -> Result<Self, Faults> {
+    pub fn from_env() -> Result<Self, ConfigErrors> {
         Self::load(|name| env::var(name).ok())
     }
 
@@ -169,7 +178,7 @@
     /// # Errors
     ///
     /// Names each variable, or file and key, at fault.
-    pub fn reread() -> Result<Self, Faults> {
+    pub fn reload() -> Result<Self, ConfigErrors> {
         Self::load(|name| if name == DISCOVERY { None } else { env::var(name).ok() })
     }
 
@@ -178,19 +187,19 @@
     /// # Errors
     ///
     /// Names each file and key at fault.
-    pub fn from_files(file: &Path, ogc: &Path) -> Result<Self, Faults> {
+    pub fn from_files(file: &Path, ogc: &Path) -> Result<Self, ConfigErrors> {
         let mut config = Self::read(&place(file), &open(file)?, |_| None)?;
-        config.ogc = Ogc::read(ogc, &open(ogc)?, &config.settings).map_err(Faults)?;
+        config.ogc = OgcConfig::read(ogc, &open(ogc)?, &config.settings).map_err(ConfigErrors)?;
         Ok(config)
     }
 
     /// The keys that differ from the running ones and wait for the next start.
-    pub fn kept_until_restart(&self, running: &Config) -> Vec<&'static str> {
+    pub fn changes_needing_restart(&self, running: &Config) -> Vec<&'static str> {
         let keys = [
             ("name", self.name == running.name),
             ("listen", self.listen == running.listen),
             ("control", self.control == running.control),
-            ("limits", self.bounds == running.bounds),
+            ("limits", self.limits == running.limits),
             ("settings", self.settings == running.settings),
             ("log", self.service.log == running.service.log),
             ("store", self.service.store == running.service.store),
@@ -198,11 +207,11 @@
         keys.into_iter().filter_map(|(key, same)| (!same).then_some(key)).collect()
     }
 
-    fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Self, Faults> {
+    fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigErrors> {
         let file = env::var_os("BALANCER_CONFIG").map(PathBuf::from);
         let file = file.ok_or_else(|| error("BALANCER_CONFIG", "", "is not set"))?;
         let mut faults = Vec::new();
-        let config = open(&file).map_err(Faults::from);
+        let config = open(&file).map_err(ConfigErrors::from);
         let config = config.and_then(|text| Self::read(&place(&file), &text, &variable));
         let mut config = config.map_err(|found| faults.extend(found.0)).ok();
         // Without a file of its own, and none that was asked for, what it configures is off.
@@ -214,15 +223,15 @@
         if let Some(path) = beside("BALANCER_SERVICE", SERVICE_FILE) {
             let settings = config.as_ref().map(|config| &config.settings);
             let text = open(&path).map_err(|error| vec![error]);
-            match text.and_then(|text| Service::read(&path, &text, settings)) {
+            match text.and_then(|text| ServiceConfig::read(&path, &text, settings)) {
                 Ok(service) => drop(config.as_mut().map(|config| config.service = service)),
                 Err(found) => faults.extend(found),
             }
         }
-        let Some(config) = &mut config else { return Err(Faults(faults)) };
+        let Some(config) = &mut config else { return Err(ConfigErrors(faults)) };
         if let Some(path) = beside("BALANCER_OGC", OGC_FILE) {
             let text = open(&path).map_err(|error| vec![error]);
-            match text.and_then(|text| Ogc::read(&path, &text, &config.settings)) {
+            match text.and_then(|text| OgcConfig::read(&path, &text, &config.settings)) {
                 Ok(ogc) => config.ogc = ogc,
                 Err(found) => faults.extend(found),
             }
@@ -234,18 +243,18 @@
             }
         }
         if let Some(word) = variable("BALANCER_LOG_LEVEL") {
-            match service::level(&word) {
+            match service::parse_log_level(&word) {
                 Ok(level) => config.service.log.level = level,
                 Err(fault) => faults.push(error("BALANCER_LOG_LEVEL", "", &fault)),
             }
         }
         if let Some(word) = variable("BALANCER_LOG_FORMAT") {
-            match service::is_json(&word) {
+            match service::parse_log_format(&word) {
                 Ok(json) => config.service.log.json = json,
                 Err(fault) => faults.push(error("BALANCER_LOG_FORMAT", "", &fault)),
             }
         }
-        if let Err(fault) = config.bounds.keep_to_process() {
+        if let Err(fault) = config.limits.cap_to_process_limit() {
             faults.push(error(&place(&file), "limits.sockets", &fault));
         }
         let unlisted = config.ogc.as_ref().is_none_or(|ogc| ogc.inventory.is_none());
@@ -253,7 +262,7 @@
             let fault = "is missing, BALANCER_DISCOVERY is not set, and no inventory lists the servers";
             faults.push(error(&place(&file), "discovery", fault));
         }
-        if faults.is_empty() { Ok(config.clone()) } else { Err(Faults(faults)) }
+        if faults.is_empty() { Ok(config.clone()) } else { Err(ConfigErrors(faults)) }
     }
 
     /// Reads a configuration; a variable that is set goes before the file's key.
@@ -261,7 +270,11 @@
     /// # Errors
     ///
     /// Names each variable, or the place and key, at fault.
-    pub fn read(place: &str, text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, Faults> {
+    pub fn read(
+        place: &str,
+        text: &str,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Self, ConfigErrors> {
         let mut json = serde_json::Deserializer::from_str(text);
         let file: File = serde_path_to_error::deserialize(&mut json)
             .map_err(|e| error(place, &e.path().to_string(), &e.inner().to_string()))?;
@@ -296,9 +309,9 @@
                 usual
             }
         };
-        let bounds = Bounds {
-            memory_mb: limit("limits.memory_mb", file.limits.memory_mb, BOUNDS.memory_mb, 32),
-            sockets: limit("limits.sockets", file.limits.sockets, BOUNDS.sockets, LEAST_SOCKETS),
+        let limits = ResourceLimits {
+            memory_mb: limit("limits.memory_mb", file.limits.memory_mb, DEFAULT_LIMITS.memory_mb, 32),
+            sockets: limit("limits.sockets", file.limits.sockets, DEFAULT_LIMITS.sockets, MIN_SOCKETS),
         };
         let seed = file.seed.unwrap_or_default();
         let seed = u64::from_str_radix(if seed.is_empty() { "0" } else { &seed }, 16)
@@ -324,16 +337,18 @@
                     control,
                     discovery,
                     seed,
-                    bounds,
-                    known: file.known.filter(|known| !known.is_null()),
+                    limits,
+                    known_servers: file.known.filter(|known| !known.is_null()),
                     settings,
                     settings_json: file.settings.to_string(),
-                    peers: peer_listen.filter(|_| !peers.is_empty()).map(|at| (at, peers)),
+                    peers: peer_listen
+                        .filter(|_| !peers.is_empty())
+                        .map(|listen| PeerAddresses { listen, brokers: peers }),
                     ogc: None,
-                    service: Service::default(),
+                    service: ServiceConfig::default(),
                 })
             }
-            _ => Err(Faults(faults)),
+            _ => Err(ConfigErrors(faults)),
         }
     }
 }
@@ -380,7 +395,7 @@
     path.display().to_string()
 }
 
-fn error(place: &str, key: &str, fault: &str) -> ConfigError {
+fn error(location: &str, key: &str, problem: &str) -> ConfigError {
     let key = if key == "." { "" } else { key };
-    ConfigError { place: place.to_owned(), key: key.to_owned(), fault: fault.to_owned() }
+    ConfigError { location: location.to_owned(), key: key.to_owned(), problem: problem.to_owned() }
 }
--- a/src/config/ogc.rs
+++ b/src/config/ogc.rs
@@ -17,7 +17,7 @@
 
 /// The OGC front as configured.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ogc {
+pub struct OgcConfig {
     /// Where it listens.
     pub listen: SocketAddr,
     /// The inventory of servers, which then stands in for discovery.
@@ -29,9 +29,9 @@
     /// The one coordinate system spoken.
     pub crs: String,
     /// Features on a page at the most.
-    pub count: u32,
+    pub page_size: u32,
     /// Feature types.
-    pub types: Vec<FeatureType>,
+    pub feature_types: Vec<FeatureType>,
 }
 
 /// A feature type: what is asked as one class of query, a feature for each tile block.
@@ -57,18 +57,18 @@
     /// Rows.
     pub rows: u32,
     /// Number of the first block.
-    pub first: u32,
+    pub first_block: u32,
 }
 
 impl Grid {
     /// All blocks.
     pub fn blocks(&self) -> std::ops::Range<u32> {
-        self.first..self.first + self.columns * self.rows
+        self.first_block..self.first_block + self.columns * self.rows
     }
 
     /// Where a block lies.
     pub fn extent_of(&self, block: u32) -> [f64; 4] {
-        let place = block.saturating_sub(self.first);
+        let place = block.saturating_sub(self.first_block);
         let (column, row) = (f64::from(place % self.columns), f64::from(place / self.columns));
         let [west, south, east, north] = self.extent;
         let (width, height) =
@@ -82,7 +82,7 @@
     }
 
     /// The blocks that share an area with a box.
-    pub fn within(&self, area: [f64; 4]) -> BTreeSet<u32> {
+    pub fn blocks_in(&self, area: [f64; 4]) -> BTreeSet<u32> {
         let meets = |block: &u32| {
             let [west, south, east, north] = self.extent_of(*block);
             west < area[2] && east > area[0] && south < area[3] && north > area[1]
@@ -133,22 +133,22 @@
     first_block: u32,
 }
 
-impl Ogc {
+impl OgcConfig {
     /// Reads the front's file; none if the front is off, and then no more of it is checked.
     ///
     /// # Errors
     ///
     /// Names the file, the line and the key of each fault.
     pub fn read(path: &Path, text: &str, settings: &SiteSettings) -> Result<Option<Self>, Vec<ConfigError>> {
-        let place = path.display().to_string();
+        let file_name = path.display().to_string();
         let fault = |line: u64, key: String, fault: String| ConfigError {
-            place: format!("{place}: line {line}"),
+            location: format!("{file_name}: line {line}"),
             key,
-            fault,
+            problem: fault,
         };
         let file: File = serde_saphyr::from_str(text).map_err(|error| {
             let line = error.location().map_or(1, |at| at.line());
-            vec![fault(line, String::new(), plain(&error))]
+            vec![fault(line, String::new(), yaml_message(&error))]
         })?;
         // On the platform there may be other classes and blocks than those named here.
         let Some(at) = file.listen else { return Ok(None) };
@@ -203,25 +203,25 @@
                     format!("holds {blocks} blocks from {first} on; there are {}", settings.router.shards);
                 faults.push(fault(line, key("grid"), why));
             }
-            let grid = Grid { extent, columns, rows, first };
+            let grid = Grid { extent, columns, rows, first_block: first };
             types.push(FeatureType { name: name.value, title, class, grid });
         }
         let beside = |name: String| path.parent().unwrap_or(Path::new("")).join(name);
         let (Ok(listen), true) = (listen, faults.is_empty()) else { return Err(faults) };
-        Ok(Some(Ogc {
+        Ok(Some(OgcConfig {
             listen,
             inventory: file.inventory.map(beside),
             prefix: prefix.value,
             namespace: file.namespace.uri,
             crs: file.crs.unwrap_or_else(|| CRS.to_owned()),
-            count: file.count.map_or(COUNT, |count| count.value),
-            types,
+            page_size: file.count.map_or(COUNT, |count| count.value),
+            feature_types: types,
         }))
     }
 }
 
 /// What a YAML error says, on one line.
-pub fn plain(error: &serde_saphyr::Error) -> String {
+pub fn yaml_message(error: &serde_saphyr::Error) -> String {
     let text = error.without_snippet().to_string();
     text.lines().next().unwrap_or("not YAML").trim_start_matches("error: ").to_owned()
 }
--- a/src/config/service.rs
+++ b/src/config/service.rs
@@ -8,7 +8,7 @@
 use serde_saphyr::Spanned;
 
 use super::ConfigError;
-use super::ogc::plain;
+use super::ogc::yaml_message;
 use super::settings::SiteSettings;
 
 /// Bytes in a MB.
@@ -21,33 +21,33 @@
 
 /// The operator's file as read.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Service {
+pub struct ServiceConfig {
     /// The log on standard error.
-    pub log: Log,
+    pub log: LogConfig,
     /// The trace, where it is on.
-    pub trace: Option<Trace>,
+    pub trace: Option<TraceConfig>,
     /// The store's file, where it is on.
     pub store: Option<PathBuf>,
 }
 
 /// What is logged, and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Log {
+pub struct LogConfig {
     /// The least severe level that is logged.
     pub level: tracing::Level,
     /// Whether each line is a JSON object.
     pub json: bool,
 }
 
-impl Default for Log {
+impl Default for LogConfig {
     fn default() -> Self {
-        Log { level: tracing::Level::INFO, json: false }
+        LogConfig { level: tracing::Level::INFO, json: false }
     }
 }
 
 /// Where and how much is recorded.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trace {
+pub struct TraceConfig {
     /// The folder.
     pub dir: PathBuf,
     /// A file is followed by a new one at this size, in bytes.
@@ -95,12 +95,12 @@
 }
 
 /// The level of a word.
-pub fn level(word: &str) -> Result<tracing::Level, String> {
+pub fn parse_log_level(word: &str) -> Result<tracing::Level, String> {
     word.parse().map_err(|_| format!("{word:?} is none of error, warn, info, debug, trace"))
 }
 
 /// Whether a word asks for JSON.
-pub fn is_json(word: &str) -> Result<bool, String> {
+pub fn parse_log_format(word: &str) -> Result<bool, String> {
     match word {
         "text" => Ok(false),
         "json" => Ok(true),
@@ -108,38 +108,39 @@
     }
 }
 
-impl Service {
+impl ServiceConfig {
     /// Reads the file. Without sound settings, what depends on them is left unchecked.
     ///
     /// # Errors
     ///
     /// Every fault, with the line and the key.
     pub fn read(path: &Path, text: &str, settings: Option<&SiteSettings>) -> Result<Self, Vec<ConfigError>> {
-        let place = path.display().to_string();
+        let file_name = path.display().to_string();
         let at = |line: u64, key: &str, fault: String| ConfigError {
-            place: format!("{place}: line {line}"),
+            location: format!("{file_name}: line {line}"),
             key: key.to_owned(),
-            fault,
+            problem: fault,
         };
         // A file of comments alone is the usual one.
         let says_nothing = text.lines().all(|line| line.trim().is_empty() || line.trim().starts_with('#'));
         let file: File = if says_nothing {
             File::default()
         } else {
-            serde_saphyr::from_str(text)
-                .map_err(|error| vec![at(error.location().map_or(1, |at| at.line()), "", plain(&error))])?
+            serde_saphyr::from_str(text).map_err(|error| {
+                vec![at(error.location().map_or(1, |at| at.line()), "", yaml_message(&error))]
+            })?
         };
         let mut faults = Vec::new();
-        let mut service = Service::default();
+        let mut service = ServiceConfig::default();
         if let Some(log) = file.log {
             if let Some(word) = log.level {
-                match level(&word.value) {
+                match parse_log_level(&word.value) {
                     Ok(level) => service.log.level = level,
                     Err(fault) => faults.push(at(word.referenced.line(), "log.level", fault)),
                 }
             }
             if let Some(word) = log.format {
-                match is_json(&word.value) {
+                match parse_log_format(&word.value) {
                     Ok(json) => service.log.json = json,
                     Err(fault) => faults.push(at(word.referenced.line(), "log.format", fault)),
                 }
@@ -183,7 +184,7 @@
                 }
                 let dir = PathBuf::from(dir.value);
                 let file_age = Duration::from_secs(minutes * 60);
-                service.trace = Some(Trace { dir, file_bytes, file_age, total_bytes, queue, sample });
+                service.trace = Some(TraceConfig { dir, file_bytes, file_age, total_bytes, queue, sample });
             }
         }
         if let Some(store) = file.store {
@@ -200,18 +201,18 @@
 mod tests {
     use super::*;
 
-    fn read(text: &str) -> Result<Service, String> {
+    fn read(text: &str) -> Result<ServiceConfig, String> {
         let json = include_str!("../../tests/exchanges/config.json");
         let json: serde_json::Value = serde_json::from_str(json).expect("JSON");
         let settings = SiteSettings::read(&json["settings"]).expect("sound");
-        Service::read(Path::new("s.yaml"), text, Some(&settings))
+        ServiceConfig::read(Path::new("s.yaml"), text, Some(&settings))
             .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
     }
 
     // Guards the platform: the file as it stands in the repository switches nothing on.
     #[test]
     fn the_file_as_it_stands_is_off() {
-        assert_eq!(read(include_str!("../../deploy/service.yaml")), Ok(Service::default()));
+        assert_eq!(read(include_str!("../../deploy/service.yaml")), Ok(ServiceConfig::default()));
     }
 
     #[test]
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use crate::config::ogc::Ogc;
+use crate::config::ogc::OgcConfig;
 use crate::config::settings::SiteSettings;
 use crate::core::{FinalAnswer, NewQuery, NotAccepted};
 use crate::net::http::{Request, Response};
@@ -52,7 +52,7 @@
 
 impl Front {
     /// The fronts; `run` is new with each start of each broker.
-    pub fn new(settings: Arc<SiteSettings>, ogc: Option<Ogc>, run: u64) -> Self {
+    pub fn new(settings: Arc<SiteSettings>, ogc: Option<OgcConfig>, run: u64) -> Self {
         Front { settings, ogc: ogc.map(|config| ogc::Front::new(config, run)) }
     }
 
--- a/src/front/ogc/filter.rs
+++ b/src/front/ogc/filter.rs
@@ -88,7 +88,7 @@
             match (corner("lowerCorner"), corner("upperCorner")) {
                 (Some(low), Some(high)) => {
                     let area = area(&[low, high].concat().join(","), crs).map_err(|e| invalid(e.text))?;
-                    Ok(feature.grid.within(area))
+                    Ok(feature.grid.blocks_in(area))
                 }
                 _ => Err(invalid("the Envelope lacks a corner")),
             }
--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
-use crate::config::ogc::{FeatureType, Ogc};
+use crate::config::ogc::{FeatureType, OgcConfig};
 use crate::config::settings::SiteSettings;
 use crate::core::{FinalAnswer, NewPart, NewQuery};
 use crate::front::platform::{key, tenant};
@@ -81,7 +81,7 @@
 
 /// The front: its configuration, and numbers for its queries.
 pub struct Front {
-    config: Ogc,
+    config: OgcConfig,
     /// Makes the names of this broker's queries differ from all others'.
     run: u64,
     queries: u64,
@@ -89,7 +89,7 @@
 
 impl Front {
     /// A front; `run` is new with each start of each broker.
-    pub fn new(config: Ogc, run: u64) -> Self {
+    pub fn new(config: OgcConfig, run: u64) -> Self {
         Front { config, run, queries: 0 }
     }
 
@@ -145,15 +145,15 @@
             Some(_) => "",
             None => name,
         };
-        let found = self.config.types.iter().position(|t| t.name == local);
+        let found = self.config.feature_types.iter().position(|t| t.name == local);
         found.ok_or_else(|| Exception::invalid(locator, format!("{name:?} is no feature type")))
     }
 
     fn types(&self, params: &Params) -> Result<Vec<&FeatureType>, Exception> {
         match params.get("typenames").or(params.get("typename")) {
-            None => Ok(self.config.types.iter().collect()),
+            None => Ok(self.config.feature_types.iter().collect()),
             Some(names) => {
-                names.split(',').map(|n| Ok(&self.config.types[self.kind(n, "typeNames")?])).collect()
+                names.split(',').map(|n| Ok(&self.config.feature_types[self.kind(n, "typeNames")?])).collect()
             }
         }
     }
@@ -173,7 +173,8 @@
             return Err(Exception::invalid("srsName", format!("only {} is spoken", self.config.crs)));
         }
         let start = params.number("startindex")?.unwrap_or(0) as usize;
-        let count = params.number("count")?.unwrap_or(self.config.count).min(self.config.count) as usize;
+        let count =
+            params.number("count")?.unwrap_or(self.config.page_size).min(self.config.page_size) as usize;
         let hits = match params.get("resulttype") {
             None => false,
             Some(kind) if kind.eq_ignore_ascii_case("results") => false,
@@ -190,7 +191,7 @@
             let known = if hits { Page { next: None, ..known } } else { known };
             return Ok(Asked::Known(xml::response(200, xml::collection(&self.config, &known, &[], false))));
         }
-        let feature = &self.config.types[kind];
+        let feature = &self.config.feature_types[kind];
         self.queries += 1;
         let text = params.selection(&feature.name);
         let mut about = String::new();
@@ -238,14 +239,14 @@
                 blocks.insert(block);
             }
             let kind = kind.ok_or_else(|| Exception::missing("typeNames"))?;
-            let there = self.config.types[kind].grid.blocks();
+            let there = self.config.feature_types[kind].grid.blocks();
             blocks.retain(|block| there.contains(block));
             return Ok((kind, blocks));
         }
         let kind = named.ok_or_else(|| Exception::missing("typeNames"))?;
-        let feature = &self.config.types[kind];
+        let feature = &self.config.feature_types[kind];
         let blocks = match (params.get("bbox"), params.get("filter")) {
-            (Some(text), _) => feature.grid.within(kvp::area(text, &self.config.crs)?),
+            (Some(text), _) => feature.grid.blocks_in(kvp::area(text, &self.config.crs)?),
             (None, Some(text)) => filter::blocks(text, feature, &self.config.crs)?,
             (None, None) => feature.grid.blocks().collect(),
         };
--- a/src/front/ogc/xml.rs
+++ b/src/front/ogc/xml.rs
@@ -5,7 +5,7 @@
 use quick_xml::escape::escape;
 
 use super::{Exception, Page};
-use crate::config::ogc::{FeatureType, Ogc};
+use crate::config::ogc::{FeatureType, OgcConfig};
 use crate::net::http::Response;
 
 const DECLARATION: &str = "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n";
@@ -43,9 +43,9 @@
 }
 
 /// A page of features. One that lacks some says so, and how many match is then left open.
-pub fn collection(config: &Ogc, page: &Page, features: &[(u32, &str)], partial: bool) -> String {
-    let Ogc { prefix, namespace, crs, .. } = config;
-    let FeatureType { name, grid, .. } = &config.types[page.kind];
+pub fn collection(config: &OgcConfig, page: &Page, features: &[(u32, &str)], partial: bool) -> String {
+    let OgcConfig { prefix, namespace, crs, .. } = config;
+    let FeatureType { name, grid, .. } = &config.feature_types[page.kind];
     let matched = if partial { "unknown".to_owned() } else { page.matched.to_string() };
     let next = page.next.as_ref().map(|url| format!(" next=\"{}\"", escape(url.as_str())));
     let mut out = format!(
@@ -76,8 +76,8 @@
 }
 
 /// The schema of feature types.
-pub fn schema(config: &Ogc, types: &[&FeatureType]) -> String {
-    let Ogc { prefix, namespace, .. } = config;
+pub fn schema(config: &OgcConfig, types: &[&FeatureType]) -> String {
+    let OgcConfig { prefix, namespace, .. } = config;
     let namespace = escape(namespace.as_str());
     let mut out = format!(
         "<xsd:schema xmlns:xsd=\"http://www.w3.org/2001/XMLSchema\" xmlns:gml=\"{GML}\" xmlns:{prefix}=\"{namespace}\" \
@@ -97,8 +97,8 @@
 }
 
 /// What the service offers.
-pub fn capabilities(config: &Ogc, url: &str) -> String {
-    let Ogc { prefix, namespace, crs, count, .. } = config;
+pub fn capabilities(config: &OgcConfig, url: &str) -> String {
+    let OgcConfig { prefix, namespace, crs, page_size, .. } = config;
     let (namespace, crs, url) = (escape(namespace.as_str()), escape(crs.as_str()), escape(url));
     let mut out = format!(
         "<wfs:WFS_Capabilities xmlns:wfs=\"{WFS}\" xmlns:ows=\"{OWS}\" xmlns:fes=\"{FES}\" \
@@ -124,9 +124,9 @@
     {
         out += &constraint(name, value);
     }
-    out += &constraint("CountDefault", &count.to_string());
+    out += &constraint("CountDefault", &page_size.to_string());
     out += "  </ows:OperationsMetadata>\n  <wfs:FeatureTypeList>\n";
-    for FeatureType { name, title, .. } in &config.types {
+    for FeatureType { name, title, .. } in &config.feature_types {
         out += &format!(
             "    <wfs:FeatureType><wfs:Name>{prefix}:{name}</wfs:Name><wfs:Title>{}</wfs:Title>\
              <wfs:DefaultCRS>{crs}</wfs:DefaultCRS></wfs:FeatureType>\n",
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use serde_saphyr::Spanned;
 
-use crate::config::ogc::plain;
+use crate::config::ogc::yaml_message;
 use crate::core::Member;
 use crate::discovery::Listing;
 use crate::interface::{ServerState, Time};
@@ -183,7 +183,7 @@
 fn yaml_rows(text: &str) -> Result<Vec<Row>, Fault> {
     let groups: BTreeMap<String, Option<Group>> = serde_saphyr::from_str(text).map_err(|error| {
         let line = error.location().map_or(1, |at| at.line());
-        (line, String::new(), plain(&error))
+        (line, String::new(), yaml_message(&error))
     })?;
     let mut rows = BTreeMap::new();
     for group in groups.into_values().flatten() {
--- a/src/log.rs
+++ b/src/log.rs
@@ -13,7 +13,7 @@
 use tracing_subscriber::fmt::{FmtContext, MakeWriter};
 use tracing_subscriber::registry::LookupSpan;
 
-use crate::config::service::Log;
+use crate::config::service::LogConfig;
 
 /// Lines that may wait for the reader.
 const LINES: usize = 1024;
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// When it goes somewhere already.
-pub fn start(log: Log) -> Result<Guard, String> {
+pub fn start(log: LogConfig) -> Result<Guard, String> {
     let (writer, guard) = writer(io::stderr());
     let said = if log.json {
         let builder = tracing_subscriber::fmt().json().flatten_event(true).with_target(false);
--- a/src/record.rs
+++ b/src/record.rs
@@ -8,7 +8,7 @@
 use badgergauge_trace::{Record, Source};
 
 use crate::config::Config;
-use crate::config::service::Trace;
+use crate::config::service::TraceConfig;
 use crate::core::Core;
 use crate::interface::Time;
 use crate::net::clock::Clock;
@@ -16,11 +16,11 @@
 /// The recorder of a broker.
 pub struct TraceRecorder {
     recorder: Recorder,
-    settings: Trace,
+    settings: TraceConfig,
     last: u64,
 }
 
-fn limits(trace: &Trace) -> Limits {
+fn limits(trace: &TraceConfig) -> Limits {
     Limits { file_bytes: trace.file_bytes, file_age: trace.file_age, total_bytes: trace.total_bytes }
 }
 
@@ -67,7 +67,7 @@
 
     /// Goes on with a new file, and with other bounds where they differ. What else differs waits for the next
     /// start, and is named.
-    pub fn reload(&mut self, trace: Option<&Trace>) -> Option<&'static str> {
+    pub fn reload(&mut self, trace: Option<&TraceConfig>) -> Option<&'static str> {
         let (changed, limits) = match trace {
             None => (true, None),
             Some(trace) => {
