--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration: the one place where it is read, checked and given defaults.
+//! Reads and checks the configuration and fills in its defaults.
 
 pub mod ogc;
 pub mod service;
@@ -16,14 +16,14 @@
 use self::service::ServiceConfig;
 use self::settings::SiteSettings;
 
-/// What is wrong with the configuration, and where.
+/// An error in the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The variable or file.
+    /// Environment variable or file, with the line where it is known.
     pub location: String,
-    /// The key in it; empty where the whole is at fault.
+    /// Key in the file; empty if the error concerns the whole file or an environment variable.
     pub key: String,
-    /// What is wrong.
+    /// Description of what is wrong.
     pub problem: String,
 }
 
@@ -38,7 +38,7 @@
 
 impl std::error::Error for ConfigError {}
 
-/// All that is wrong, at least one fault. It is displayed as the first.
+/// All errors in the configuration; contains at least one. Displays as the first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigErrors(pub Vec<ConfigError>);
 
@@ -56,24 +56,25 @@
     }
 }
 
-/// The limits a broker keeps within.
+/// Resource limits of a broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
     /// Memory, in MB.
     pub memory_mb: usize,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub sockets: usize,
 }
 
 impl ResourceLimits {
-    /// Keeps to what the process may open, whatever the configuration says: what clients take beyond that, discovery
-    /// and servers would lack.
+    /// Lowers `sockets` to the descriptor limit of the process. Without this, clients could use up the descriptors
+    /// that discovery and the servers need.
     fn cap_to_process_limit(&mut self) -> Result<(), String> {
         let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let limit = limit.and_then(|limit| usize::try_from(limit).ok()).unwrap_or(usize::MAX);
         if limit < MIN_SOCKETS {
             return Err(format!(
-                "the process may open {limit} descriptors, which is under {MIN_SOCKETS}: raise its limit (ulimit -n)"
+                "the process may open only {limit} file descriptors, at least {MIN_SOCKETS} are needed: raise its \
+                 limit (ulimit -n)"
             ));
         }
         self.sockets = self.sockets.min(limit);
@@ -81,9 +82,11 @@
     }
 }
 
-/// What holds on the platform's busiest days, and where nothing is said.
+/// Limits on the platform's busiest days; also the defaults and the maximum.
 const DEFAULT_LIMITS: ResourceLimits = ResourceLimits { memory_mb: 192, sockets: 1024 };
-/// Under this many descriptors a broker can't reach its servers and its clients.
+/// Minimum memory limit, in MB.
+const MIN_MEMORY_MB: usize = 32;
+/// Minimum number of file descriptors. With fewer, a broker can't connect to its servers and its clients.
 const MIN_SOCKETS: usize = 64;
 
 /// Addresses for the messages between brokers.
@@ -95,40 +98,41 @@
     pub brokers: Vec<SocketAddr>,
 }
 
-/// All that a broker is told at its start.
+/// Configuration of a broker.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the broker.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// Address of the control endpoint; `None` if it is off.
     pub control: Option<SocketAddr>,
-    /// Where discovery listens; it may be missing where an inventory lists the servers.
+    /// Address of discovery; may be `None` if an inventory lists the servers.
     pub discovery: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Its limits.
+    /// Resource limits.
     pub limits: ResourceLimits,
-    /// The settings.
+    /// Settings of the deployment.
     pub settings: SiteSettings,
-    /// Where word from other brokers comes, and where each of them hears it, by number.
+    /// Addresses for the messages between brokers; `None` if they are off.
     pub peers: Option<PeerAddresses>,
-    /// The list of servers as it last had it, in discovery's form.
+    /// Server list to start with, in discovery's format.
     pub known_servers: Option<Value>,
-    /// The settings as they were given, without spaces.
+    /// The settings as configured, as compact JSON.
     pub settings_json: String,
-    /// The OGC front, where it has a file.
+    /// Configuration of the OGC front end; `None` if it is off.
     pub ogc: Option<OgcConfig>,
-    /// What the operator's file switches on.
+    /// Configuration of the log, the trace and the store.
     pub service: ServiceConfig,
 }
 
-/// The OGC front's file, unless `BALANCER_OGC` names another.
+/// Default path of the OGC front end's file; `BALANCER_OGC` overrides it.
 const OGC_FILE: &str = "deploy/ogc.yaml";
-/// The operator's file, unless `BALANCER_SERVICE` names another.
+/// Default path of the service file; `BALANCER_SERVICE` overrides it.
 const SERVICE_FILE: &str = "deploy/service.yaml";
-/// The variable that outranks the file's `discovery` at the start, and yields to it on a reload.
+/// Variable for discovery's address. It overrides the file's `discovery` at start-up; on a reload the file's key
+/// has precedence.
 const DISCOVERY: &str = "BALANCER_DISCOVERY";
 
 #[derive(Deserialize)]
@@ -163,37 +167,39 @@
 }
 
 impl Config {
-    /// Reads the environment and the files that it names.
+    /// Reads the environment variables and the files that they name.
     ///
     /// # Errors
     ///
-    /// Names each variable, or file and key, at fault.
+    /// Returns all errors, each with its variable, or its file and key.
     pub fn from_env() -> Result<Self, ConfigErrors> {
         Self::load(|name| env::var(name).ok())
     }
 
-    /// Reads the environment and the files again, while the program runs. Here the file's `discovery` goes
-    /// before the variable, which can't change any more: else nothing could move the watch.
+    /// Reads the environment variables and the files again, while the program runs. The file's `discovery` has
+    /// precedence over the variable here: a running process's environment can't be changed, so the watch could
+    /// otherwise never be moved to another address.
     ///
     /// # Errors
     ///
-    /// Names each variable, or file and key, at fault.
+    /// Returns all errors, each with its variable, or its file and key.
     pub fn reload() -> Result<Self, ConfigErrors> {
         Self::load(|name| if name == DISCOVERY { None } else { env::var(name).ok() })
     }
 
-    /// Reads a configuration and an OGC front from files alone.
+    /// Reads a configuration and an OGC front end's file, ignoring the environment.
     ///
     /// # Errors
     ///
-    /// Names each file and key at fault.
+    /// Returns all errors of the first invalid file, each with its file and key.
     pub fn from_files(file: &Path, ogc: &Path) -> Result<Self, ConfigErrors> {
-        let mut config = Self::read(&place(file), &open(file)?, |_| None)?;
-        config.ogc = OgcConfig::read(ogc, &open(ogc)?, &config.settings).map_err(ConfigErrors)?;
+        let mut config = Self::read(&display(file), &read_file(file)?, |_| None)?;
+        config.ogc = OgcConfig::read(ogc, &read_file(ogc)?, &config.settings).map_err(ConfigErrors)?;
         Ok(config)
     }
 
-    /// The keys that differ from the running ones and wait for the next start.
+    /// Returns the keys whose values differ from those of the running configuration and take effect only after
+    /// a restart.
     pub fn changes_needing_restart(&self, running: &Config) -> Vec<&'static str> {
         let keys = [
             ("name", self.name == running.name),
@@ -210,127 +216,136 @@
     fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigErrors> {
         let file = env::var_os("BALANCER_CONFIG").map(PathBuf::from);
         let file = file.ok_or_else(|| error("BALANCER_CONFIG", "", "is not set"))?;
-        let mut faults = Vec::new();
-        let config = open(&file).map_err(ConfigErrors::from);
-        let config = config.and_then(|text| Self::read(&place(&file), &text, &variable));
-        let mut config = config.map_err(|found| faults.extend(found.0)).ok();
-        // Without a file of its own, and none that was asked for, what it configures is off.
-        let beside = |variable: &str, usual: &str| {
+        let mut errors = Vec::new();
+        let config = read_file(&file).map_err(ConfigErrors::from);
+        let config = config.and_then(|text| Self::read(&display(&file), &text, &variable));
+        let mut config = config.map_err(|found| errors.extend(found.0)).ok();
+        // A file that no variable names is optional: if it does not exist, what it configures is off.
+        let optional_file = |variable: &str, default: &str| {
             let named = env::var_os(variable).map(PathBuf::from);
-            let path = named.clone().unwrap_or_else(|| usual.into());
+            let path = named.clone().unwrap_or_else(|| default.into());
             (named.is_some() || path.exists()).then_some(path)
         };
-        if let Some(path) = beside("BALANCER_SERVICE", SERVICE_FILE) {
+        if let Some(path) = optional_file("BALANCER_SERVICE", SERVICE_FILE) {
             let settings = config.as_ref().map(|config| &config.settings);
-            let text = open(&path).map_err(|error| vec![error]);
+            let text = read_file(&path).map_err(|error| vec![error]);
             match text.and_then(|text| ServiceConfig::read(&path, &text, settings)) {
                 Ok(service) => drop(config.as_mut().map(|config| config.service = service)),
-                Err(found) => faults.extend(found),
+                Err(found) => errors.extend(found),
             }
         }
-        let Some(config) = &mut config else { return Err(ConfigErrors(faults)) };
-        if let Some(path) = beside("BALANCER_OGC", OGC_FILE) {
-            let text = open(&path).map_err(|error| vec![error]);
+        let Some(config) = &mut config else { return Err(ConfigErrors(errors)) };
+        if let Some(path) = optional_file("BALANCER_OGC", OGC_FILE) {
+            let text = read_file(&path).map_err(|error| vec![error]);
             match text.and_then(|text| OgcConfig::read(&path, &text, &config.settings)) {
                 Ok(ogc) => config.ogc = ogc,
-                Err(found) => faults.extend(found),
+                Err(found) => errors.extend(found),
             }
         }
         if config.discovery.is_none() {
-            match env::var(DISCOVERY).ok().map(|at| address(DISCOVERY, "", &at)).transpose() {
+            match env::var(DISCOVERY).ok().map(|address| parse_address(DISCOVERY, "", &address)).transpose() {
                 Ok(discovery) => config.discovery = discovery,
-                Err(fault) => faults.push(fault),
+                Err(error) => errors.push(error),
             }
         }
-        if let Some(word) = variable("BALANCER_LOG_LEVEL") {
-            match service::parse_log_level(&word) {
+        if let Some(value) = variable("BALANCER_LOG_LEVEL") {
+            match service::parse_log_level(&value) {
                 Ok(level) => config.service.log.level = level,
-                Err(fault) => faults.push(error("BALANCER_LOG_LEVEL", "", &fault)),
+                Err(problem) => errors.push(error("BALANCER_LOG_LEVEL", "", &problem)),
             }
         }
-        if let Some(word) = variable("BALANCER_LOG_FORMAT") {
-            match service::parse_log_format(&word) {
+        if let Some(value) = variable("BALANCER_LOG_FORMAT") {
+            match service::parse_log_format(&value) {
                 Ok(json) => config.service.log.json = json,
-                Err(fault) => faults.push(error("BALANCER_LOG_FORMAT", "", &fault)),
+                Err(problem) => errors.push(error("BALANCER_LOG_FORMAT", "", &problem)),
             }
         }
-        if let Err(fault) = config.limits.cap_to_process_limit() {
-            faults.push(error(&place(&file), "limits.sockets", &fault));
+        if let Err(problem) = config.limits.cap_to_process_limit() {
+            errors.push(error(&display(&file), "limits.sockets", &problem));
         }
-        let unlisted = config.ogc.as_ref().is_none_or(|ogc| ogc.inventory.is_none());
-        if config.discovery.is_none() && unlisted && faults.is_empty() {
-            let fault = "is missing, BALANCER_DISCOVERY is not set, and no inventory lists the servers";
-            faults.push(error(&place(&file), "discovery", fault));
+        let no_inventory = config.ogc.as_ref().is_none_or(|ogc| ogc.inventory.is_none());
+        if config.discovery.is_none() && no_inventory && errors.is_empty() {
+            let problem = "is missing, BALANCER_DISCOVERY is not set, and no inventory lists the servers";
+            errors.push(error(&display(&file), "discovery", problem));
         }
-        if faults.is_empty() { Ok(config.clone()) } else { Err(ConfigErrors(faults)) }
+        if errors.is_empty() { Ok(config.clone()) } else { Err(ConfigErrors(errors)) }
     }
 
-    /// Reads a configuration; a variable that is set goes before the file's key.
+    /// Parses a configuration file. An environment variable that is set overrides the file's key; `file_name` is used
+    /// in error messages.
     ///
     /// # Errors
     ///
-    /// Names each variable, or the place and key, at fault.
+    /// Returns all errors, each with its variable, or its file and key.
     pub fn read(
-        place: &str,
+        file_name: &str,
         text: &str,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigErrors> {
         let mut json = serde_json::Deserializer::from_str(text);
         let file: File = serde_path_to_error::deserialize(&mut json)
-            .map_err(|e| error(place, &e.path().to_string(), &e.inner().to_string()))?;
-        let mut faults = Vec::new();
-        let told = |name: &str, key: &str, value: Option<String>| match (variable(name), value) {
+            .map_err(|e| error(file_name, &e.path().to_string(), &e.inner().to_string()))?;
+        let mut errors = Vec::new();
+        let variable_or_key = |name: &str, key: &str, value: Option<String>| match (variable(name), value) {
             (Some(value), _) => Ok((name.to_owned(), String::new(), value)),
-            (None, Some(value)) => Ok((place.to_owned(), key.to_owned(), value)),
-            (None, None) => Err(error(place, key, &format!("is missing, and {name} is not set"))),
+            (None, Some(value)) => Ok((file_name.to_owned(), key.to_owned(), value)),
+            (None, None) => Err(error(file_name, key, &format!("is missing, and {name} is not set"))),
         };
-        let address = |(place, key, value): (String, String, String)| address(&place, &key, &value);
+        let address =
+            |(location, key, value): (String, String, String)| parse_address(&location, &key, &value);
         let settings = SiteSettings::read(&file.settings)
-            .map_err(|e| faults.push(error(place, &format!("settings.{}", e.key), &e.problem)))
+            .map_err(|e| errors.push(error(file_name, &format!("settings.{}", e.key), &e.problem)))
             .ok();
         if let Some(settings) = &settings {
             let found = settings.router.errors();
-            faults.extend(found.into_iter().map(|e| error(place, &key_of(e.field), e.problem)));
+            errors.extend(found.into_iter().map(|e| error(file_name, &key_of(e.field), e.problem)));
             for (class, rules) in settings.router.classes.iter().enumerate() {
                 if rules.follow_up > 0 {
                     let key = format!("settings.extra.followUp[{class}]");
-                    faults.push(error(place, &key, "a second step is not spoken by any front"));
+                    errors.push(error(file_name, &key, "a second step is not supported by any front end"));
                 }
                 if settings.classes.get(class).is_none_or(String::is_empty) {
-                    faults.push(error(place, &format!("settings.profiles[{class}].name"), "is missing"));
+                    errors.push(error(file_name, &format!("settings.profiles[{class}].name"), "is missing"));
                 }
             }
         }
-        let mut limit = |key: &str, value: Option<f64>, usual: usize, least: usize| match value {
-            None => usual,
-            Some(value) if value >= least as f64 => (value as usize).min(usual),
+        let mut limit = |key: &str, value: Option<f64>, default: usize, min: usize| match value {
+            None => default,
+            Some(value) if value >= min as f64 => (value as usize).min(default),
             Some(_) => {
-                faults.push(error(place, key, &format!("must be {least} or more")));
-                usual
+                errors.push(error(file_name, key, &format!("must be {min} or more")));
+                default
             }
         };
         let limits = ResourceLimits {
-            memory_mb: limit("limits.memory_mb", file.limits.memory_mb, DEFAULT_LIMITS.memory_mb, 32),
+            memory_mb: limit(
+                "limits.memory_mb",
+                file.limits.memory_mb,
+                DEFAULT_LIMITS.memory_mb,
+                MIN_MEMORY_MB,
+            ),
             sockets: limit("limits.sockets", file.limits.sockets, DEFAULT_LIMITS.sockets, MIN_SOCKETS),
         };
         let seed = file.seed.unwrap_or_default();
         let seed = u64::from_str_radix(if seed.is_empty() { "0" } else { &seed }, 16)
-            .map_err(|_| faults.push(error(place, "seed", "must be up to 16 hex digits")));
-        let name = told("BALANCER_NAME", "name", file.name).map_err(|fault| faults.push(fault));
-        let listen = told("BALANCER_LISTEN", "listen", file.listen).and_then(address);
-        let listen = listen.map_err(|fault| faults.push(fault));
-        let discovery = told(DISCOVERY, "discovery", file.discovery).ok().map(address).transpose();
-        let discovery = discovery.map_err(|fault| faults.push(fault));
-        let control = told("BALANCER_CONTROL", "control", file.control).ok().map(address).transpose();
-        let control = control.map_err(|fault| faults.push(fault)).ok().flatten();
+            .map_err(|_| errors.push(error(file_name, "seed", "must be up to 16 hex digits")));
+        let name = variable_or_key("BALANCER_NAME", "name", file.name).map_err(|error| errors.push(error));
+        let listen = variable_or_key("BALANCER_LISTEN", "listen", file.listen).and_then(address);
+        let listen = listen.map_err(|error| errors.push(error));
+        let discovery = variable_or_key(DISCOVERY, "discovery", file.discovery).ok().map(address).transpose();
+        let discovery = discovery.map_err(|error| errors.push(error));
+        let control =
+            variable_or_key("BALANCER_CONTROL", "control", file.control).ok().map(address).transpose();
+        let control = control.map_err(|error| errors.push(error)).ok().flatten();
         let peer_listen =
-            file.peer_listen.map(|at| address((place.to_owned(), "peer_listen".to_owned(), at)));
-        let peer_listen = peer_listen.transpose().map_err(|fault| faults.push(fault)).ok().flatten();
-        let peer = |(n, at): (usize, String)| address((place.to_owned(), format!("peers[{n}]"), at));
+            file.peer_listen.map(|value| address((file_name.to_owned(), "peer_listen".to_owned(), value)));
+        let peer_listen = peer_listen.transpose().map_err(|error| errors.push(error)).ok().flatten();
+        let peer =
+            |(n, value): (usize, String)| address((file_name.to_owned(), format!("peers[{n}]"), value));
         let peers: Result<Vec<_>, _> = file.peers.into_iter().enumerate().map(peer).collect();
-        let peers = peers.map_err(|fault| faults.push(fault)).unwrap_or_default();
+        let peers = peers.map_err(|error| errors.push(error)).unwrap_or_default();
         match (settings, seed, name, listen, discovery) {
-            (Some(settings), Ok(seed), Ok((.., name)), Ok(listen), Ok(discovery)) if faults.is_empty() => {
+            (Some(settings), Ok(seed), Ok((.., name)), Ok(listen), Ok(discovery)) if errors.is_empty() => {
                 Ok(Config {
                     name,
                     listen,
@@ -348,12 +363,12 @@
                     service: ServiceConfig::default(),
                 })
             }
-            _ => Err(ConfigErrors(faults)),
+            _ => Err(ConfigErrors(errors)),
         }
     }
 }
 
-/// The key that an operator wrote for a field of the module's settings.
+/// Returns the configuration key of a field of the router's settings.
 fn key_of(field: &str) -> String {
     let key = match field {
         "front_nodes" => "balancers",
@@ -383,19 +398,20 @@
     format!("settings.{key}")
 }
 
-fn open(file: &Path) -> Result<String, ConfigError> {
-    fs::read_to_string(file).map_err(|e| error(&place(file), "", &e.to_string()))
+fn read_file(path: &Path) -> Result<String, ConfigError> {
+    fs::read_to_string(path).map_err(|e| error(&display(path), "", &e.to_string()))
 }
 
-fn address(place: &str, key: &str, value: &str) -> Result<SocketAddr, ConfigError> {
-    value.parse().map_err(|_| error(place, key, &format!("{value:?} is no address")))
+fn parse_address(location: &str, key: &str, value: &str) -> Result<SocketAddr, ConfigError> {
+    value.parse().map_err(|_| error(location, key, &format!("{value:?} is no address")))
 }
 
-fn place(path: &Path) -> String {
+fn display(path: &Path) -> String {
     path.display().to_string()
 }
 
 fn error(location: &str, key: &str, problem: &str) -> ConfigError {
+    // `serde_path_to_error` displays the path of the whole document as ".".
     let key = if key == "." { "" } else { key };
     ConfigError { location: location.to_owned(), key: key.to_owned(), problem: problem.to_owned() }
 }
--- a/src/config/service.rs
+++ b/src/config/service.rs
@@ -1,4 +1,5 @@
-//! The operator's file for what goes beyond the platform: the log, the trace and the store. Off while it says nothing.
+//! The service file: the log, the trace and the store. None of them is required by the platform; whatever the file
+//! leaves out is off or has its default.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -11,31 +12,46 @@
 use super::ogc::yaml_message;
 use super::settings::SiteSettings;
 
-/// Bytes in a MB.
+/// Number of bytes in a MB.
 const MB: u64 = 1024 * 1024;
-/// Defaults, as `deploy/service.yaml` states them.
-const FILE_MB: u64 = 64;
-const FILE_MINUTES: u64 = 15;
-const TOTAL_MB: u64 = 2048;
-const QUEUE: usize = 1024;
 
-/// The operator's file as read.
+// Deerrors; `deploy/service.yaml` documents the same values.
+/// Default maximum size of a trace file, in MB.
+const DEFAULT_FILE_MB: u64 = 64;
+/// Default maximum age of a trace file, in minutes.
+const DEFAULT_FILE_MINUTES: u64 = 15;
+/// Default maximum size of all trace files together, in MB.
+const DEFAULT_TOTAL_MB: u64 = 2048;
+/// Default capacity of the trace queue, in steps.
+const DEFAULT_QUEUE_STEPS: usize = 1024;
+
+// Maximum values that the file may set.
+/// Maximum of `trace.file_mb`.
+const MAX_FILE_MB: u64 = 1024;
+/// Maximum of `trace.file_minutes`: one week.
+const MAX_FILE_MINUTES: u64 = 7 * 24 * 60;
+/// Maximum of `trace.total_mb`.
+const MAX_TOTAL_MB: u64 = 1 << 24;
+/// Maximum of `trace.queue`, in steps.
+const MAX_QUEUE_STEPS: u64 = 1 << 16;
+
+/// Contents of the service file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceConfig {
-    /// The log on standard error.
+    /// Log on standard error.
     pub log: LogConfig,
-    /// The trace, where it is on.
+    /// Trace; `None` if it is off.
     pub trace: Option<TraceConfig>,
-    /// The store's file, where it is on.
+    /// Path of the store's file; `None` if the store is off.
     pub store: Option<PathBuf>,
 }
 
-/// What is logged, and how.
+/// Configuration of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogConfig {
-    /// The least severe level that is logged.
+    /// Least severe level that is logged.
     pub level: tracing::Level,
-    /// Whether each line is a JSON object.
+    /// Whether each line is a JSON object instead of text.
     pub json: bool,
 }
 
@@ -45,20 +61,20 @@
     }
 }
 
-/// Where and how much is recorded.
+/// Configuration of the trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceConfig {
-    /// The folder.
+    /// Directory of the trace files.
     pub dir: PathBuf,
-    /// A file is followed by a new one at this size, in bytes.
+    /// Size at which a file is rotated, in bytes.
     pub file_bytes: u64,
-    /// Or at this age.
+    /// Age at which a file is rotated.
     pub file_age: Duration,
-    /// All files together take this at the most, in bytes.
+    /// Maximum size of all files together, in bytes.
     pub total_bytes: u64,
-    /// Steps that may wait for the disk.
+    /// Maximum number of steps that wait to be written.
     pub queue: usize,
-    /// Share of each class's queries that is recorded, by class.
+    /// Fraction of the queries that is recorded, by index of the class.
     pub sample: Vec<f64>,
 }
 
@@ -94,75 +110,86 @@
     sample: Option<BTreeMap<String, Spanned<f64>>>,
 }
 
-/// The level of a word.
-pub fn parse_log_level(word: &str) -> Result<tracing::Level, String> {
-    word.parse().map_err(|_| format!("{word:?} is none of error, warn, info, debug, trace"))
+/// Parses a log level.
+///
+/// # Errors
+///
+/// Describes what is wrong with the value.
+pub fn parse_log_level(value: &str) -> Result<tracing::Level, String> {
+    value.parse().map_err(|_| format!("{value:?} is none of error, warn, info, debug, trace"))
 }
 
-/// Whether a word asks for JSON.
-pub fn parse_log_format(word: &str) -> Result<bool, String> {
-    match word {
+/// Parses a log format: `true` for JSON, `false` for text.
+///
+/// # Errors
+///
+/// Describes what is wrong with the value.
+pub fn parse_log_format(value: &str) -> Result<bool, String> {
+    match value {
         "text" => Ok(false),
         "json" => Ok(true),
-        _ => Err(format!("{word:?} is none of text, json")),
+        _ => Err(format!("{value:?} is none of text, json")),
     }
 }
 
 impl ServiceConfig {
-    /// Reads the file. Without sound settings, what depends on them is left unchecked.
+    /// Parses the file. Without `settings`, class names are not checked.
     ///
     /// # Errors
     ///
-    /// Every fault, with the line and the key.
+    /// Returns all errors, each with its line and key.
     pub fn read(path: &Path, text: &str, settings: Option<&SiteSettings>) -> Result<Self, Vec<ConfigError>> {
         let file_name = path.display().to_string();
-        let at = |line: u64, key: &str, fault: String| ConfigError {
+        let error = |line: u64, key: &str, problem: String| ConfigError {
             location: format!("{file_name}: line {line}"),
             key: key.to_owned(),
-            problem: fault,
+            problem,
         };
-        // A file of comments alone is the usual one.
-        let says_nothing = text.lines().all(|line| line.trim().is_empty() || line.trim().starts_with('#'));
-        let file: File = if says_nothing {
+        // The file in the repository contains only comments, which is not a valid YAML mapping.
+        let is_empty = text.lines().all(|line| line.trim().is_empty() || line.trim().starts_with('#'));
+        let file: File = if is_empty {
             File::default()
         } else {
-            serde_saphyr::from_str(text).map_err(|error| {
-                vec![at(error.location().map_or(1, |at| at.line()), "", yaml_message(&error))]
+            serde_saphyr::from_str(text).map_err(|yaml_error| {
+                let line = yaml_error.location().map_or(1, |at| at.line());
+                vec![error(line, "", yaml_message(&yaml_error))]
             })?
         };
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         let mut service = ServiceConfig::default();
         if let Some(log) = file.log {
-            if let Some(word) = log.level {
-                match parse_log_level(&word.value) {
+            if let Some(value) = log.level {
+                match parse_log_level(&value.value) {
                     Ok(level) => service.log.level = level,
-                    Err(fault) => faults.push(at(word.referenced.line(), "log.level", fault)),
+                    Err(problem) => errors.push(error(value.referenced.line(), "log.level", problem)),
                 }
             }
-            if let Some(word) = log.format {
-                match parse_log_format(&word.value) {
+            if let Some(value) = log.format {
+                match parse_log_format(&value.value) {
                     Ok(json) => service.log.json = json,
-                    Err(fault) => faults.push(at(word.referenced.line(), "log.format", fault)),
+                    Err(problem) => errors.push(error(value.referenced.line(), "log.format", problem)),
                 }
             }
         }
         if let Some(trace) = file.trace {
-            let mut number = |key: &str, value: Option<Spanned<u64>>, usual: u64, most: u64| match value {
-                None => usual,
-                Some(value) if (1..=most).contains(&value.value) => value.value,
+            let mut number = |key: &str, value: Option<Spanned<u64>>, default: u64, max: u64| match value {
+                None => default,
+                Some(value) if (1..=max).contains(&value.value) => value.value,
                 Some(value) => {
-                    faults.push(at(value.referenced.line(), key, format!("must be 1 to {most}")));
-                    usual
+                    errors.push(error(value.referenced.line(), key, format!("must be 1 to {max}")));
+                    default
                 }
             };
             let total_line = trace.total_mb.as_ref().map_or(1, |total| total.referenced.line());
-            let file_bytes = number("trace.file_mb", trace.file_mb, FILE_MB, 1024) * MB;
-            let total_bytes = number("trace.total_mb", trace.total_mb, TOTAL_MB, 1 << 24) * MB;
-            let minutes = number("trace.file_minutes", trace.file_minutes, FILE_MINUTES, 7 * 24 * 60);
-            let queue = number("trace.queue", trace.queue, QUEUE as u64, 1 << 16) as usize;
+            let file_bytes = number("trace.file_mb", trace.file_mb, DEFAULT_FILE_MB, MAX_FILE_MB) * MB;
+            let total_bytes = number("trace.total_mb", trace.total_mb, DEFAULT_TOTAL_MB, MAX_TOTAL_MB) * MB;
+            let minutes =
+                number("trace.file_minutes", trace.file_minutes, DEFAULT_FILE_MINUTES, MAX_FILE_MINUTES);
+            let queue =
+                number("trace.queue", trace.queue, DEFAULT_QUEUE_STEPS as u64, MAX_QUEUE_STEPS) as usize;
             if total_bytes < 2 * file_bytes {
-                let fault = "must hold two files of `file_mb` at the least".to_owned();
-                faults.push(at(total_line, "trace.total_mb", fault));
+                let problem = "must be at least twice `file_mb`".to_owned();
+                errors.push(error(total_line, "trace.total_mb", problem));
             }
             let classes = settings.map_or(&[][..], |settings| &settings.classes[..]);
             let mut sample = vec![1.0; classes.len()];
@@ -170,17 +197,17 @@
                 let key = format!("trace.sample.{class}");
                 let line = share.referenced.line();
                 if !(0.0..=1.0).contains(&share.value) {
-                    faults.push(at(line, &key, "must be 0 to 1".into()));
+                    errors.push(error(line, &key, "must be 0 to 1".into()));
                 }
                 match classes.iter().position(|known| *known == class) {
                     Some(index) => sample[index] = share.value,
                     None if settings.is_none() => {}
-                    None => faults.push(at(line, &key, "no such class".into())),
+                    None => errors.push(error(line, &key, "no such class".into())),
                 }
             }
             if let Some(dir) = trace.dir {
                 if dir.value.is_empty() {
-                    faults.push(at(dir.referenced.line(), "trace.dir", "must not be empty".into()));
+                    errors.push(error(dir.referenced.line(), "trace.dir", "must not be empty".into()));
                 }
                 let dir = PathBuf::from(dir.value);
                 let file_age = Duration::from_secs(minutes * 60);
@@ -189,11 +216,11 @@
         }
         if let Some(store) = file.store {
             if store.path.value.is_empty() {
-                faults.push(at(store.path.referenced.line(), "store.path", "must not be empty".into()));
+                errors.push(error(store.path.referenced.line(), "store.path", "must not be empty".into()));
             }
             service.store = Some(store.path.value.into());
         }
-        if faults.is_empty() { Ok(service) } else { Err(faults) }
+        if errors.is_empty() { Ok(service) } else { Err(errors) }
     }
 }
 
@@ -204,39 +231,39 @@
     fn read(text: &str) -> Result<ServiceConfig, String> {
         let json = include_str!("../../tests/exchanges/config.json");
         let json: serde_json::Value = serde_json::from_str(json).expect("JSON");
-        let settings = SiteSettings::read(&json["settings"]).expect("sound");
+        let settings = SiteSettings::read(&json["settings"]).expect("valid");
         ServiceConfig::read(Path::new("s.yaml"), text, Some(&settings))
-            .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+            .map_err(|errors| errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
     }
 
-    // Guards the platform: the file as it stands in the repository switches nothing on.
+    // The service file in the repository must not turn anything on: the platform runs with that file.
     #[test]
-    fn the_file_as_it_stands_is_off() {
+    fn file_in_the_repository_turns_nothing_on() {
         assert_eq!(read(include_str!("../../deploy/service.yaml")), Ok(ServiceConfig::default()));
     }
 
     #[test]
-    fn all_faults_are_named_with_their_lines() {
+    fn all_errors_are_reported_with_their_lines() {
         let text = "log: {level: loud,\n  format: xml}\ntrace:\n  dir: d\n  file_mb: 0\n  total_mb: 3\n\
                     \x20 sample:\n    search: 1.5\n    other: 0.5\n";
-        let faults = read(text).expect_err("faulty");
+        let errors = read(text).expect_err("invalid");
         let expected = "s.yaml: line 1: log.level: \"loud\" is none of error, warn, info, debug, trace\n\
             s.yaml: line 2: log.format: \"xml\" is none of text, json\n\
             s.yaml: line 5: trace.file_mb: must be 1 to 1024\n\
-            s.yaml: line 6: trace.total_mb: must hold two files of `file_mb` at the least\n\
+            s.yaml: line 6: trace.total_mb: must be at least twice `file_mb`\n\
             s.yaml: line 9: trace.sample.other: no such class\n\
             s.yaml: line 8: trace.sample.search: must be 0 to 1";
-        assert_eq!(faults, expected);
-        let empty = read("store:\n  path: \"\"\n").expect_err("faulty");
+        assert_eq!(errors, expected);
+        let empty = read("store:\n  path: \"\"\n").expect_err("invalid");
         assert_eq!(empty, "s.yaml: line 2: store.path: must not be empty");
-        let unknown = read("trace:\n  dir: d\n  sise: 1\n").expect_err("faulty");
+        let unknown = read("trace:\n  dir: d\n  sise: 1\n").expect_err("invalid");
         assert!(unknown.starts_with("s.yaml: line 3: ") && unknown.contains("sise"), "{unknown}");
     }
 
     #[test]
-    fn what_is_given_is_taken() {
+    fn given_values_are_used() {
         let service = read("trace: {dir: d, file_mb: 1, file_minutes: 2, sample: {report: 0.5}}\n");
-        let trace = service.expect("sound").trace.expect("on");
+        let trace = service.expect("valid").trace.expect("on");
         assert_eq!((trace.file_bytes, trace.file_age), (MB, Duration::from_secs(120)));
         assert_eq!(trace.sample, [1.0, 1.0, 0.5]);
     }
