--- a/src/bin/badgergauge/serve.rs
+++ b/src/bin/badgergauge/serve.rs
@@ -38,7 +38,7 @@
             if let Some(path) = config.ogc.as_ref().and_then(|ogc| ogc.inventory.as_ref()) {
                 match std::fs::read_to_string(path) {
                     Ok(text) => {
-                        faults.extend(inventory::faults(path, &text).iter().map(ToString::to_string));
+                        faults.extend(inventory::errors(path, &text).iter().map(ToString::to_string));
                     }
                     Err(error) => faults.push(format!("{}: {error}", path.display())),
                 }
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -26,7 +26,7 @@
 use crate::control::{Endpoint, EndpointConfig, Operations, Statistics};
 use crate::core::{Command, Core};
 use crate::discovery::{Listing, Pace, Source, Watch};
-use crate::front::{Front, Pending};
+use crate::front::{Front, PendingRequest};
 use crate::interface::{LoadReport, Time, Verdict};
 use crate::inventory::Inventory;
 use crate::lifecycle::{Lifecycle, Phase as LifePhase};
@@ -95,7 +95,7 @@
     signal_flags: SignalFlags,
     /// What it runs by.
     config: Config,
-    clients: HashMap<usize, Client<Pending>>,
+    clients: HashMap<usize, Client<PendingRequest>>,
     most_clients: usize,
     /// How many clients may be held while no other process of this broker runs.
     most_clients_alone: usize,
@@ -171,7 +171,7 @@
         let mut inventory = config.ogc.as_ref().and_then(|ogc| ogc.inventory.clone()).map(Inventory::new);
         if let Some(list) = inventory
             .as_mut()
-            .map(|i| i.reread(clock.now()))
+            .map(|i| i.read_if_changed(clock.now()))
             .transpose()
             .map_err(|e| invalid(e.to_string()))?
             .flatten()
@@ -493,7 +493,7 @@
         let pause = SWEEP.min(self.settings.connection_idle / SWEEPS).max(self.settings.router.tick);
         self.net.timers.arm(now.after(pause), TimerEvent::IdleSweep);
         self.backend.sweep(&self.net, now);
-        match self.inventory.as_mut().map(|inventory| inventory.reread(now)) {
+        match self.inventory.as_mut().map(|inventory| inventory.read_if_changed(now)) {
             Some(Ok(Some(list))) => take_list(&mut self.core, &mut self.backend, &list, None),
             Some(Err(error)) => tracing::warn!("{error}"),
             _ => {}
--- a/src/broker/accept.rs
+++ b/src/broker/accept.rs
@@ -7,7 +7,7 @@
 
 use super::upgrade::role_of;
 use super::{Broker, LISTEN, OGC_LISTEN, PEERS, SLOW};
-use crate::front::Pending;
+use crate::front::PendingRequest;
 use crate::interface::Time;
 use crate::net::client::{Client, ConnectionState, Phase};
 use crate::net::http::Response;
@@ -93,7 +93,7 @@
     /// said for a while; the one that has been idle longest; one that does not get on with its request, which is told
     /// so, and at last one that does not take its answer.
     pub(super) fn make_room(&mut self, now: Time) -> bool {
-        let rank = |client: &Client<Pending>| {
+        let rank = |client: &Client<PendingRequest>| {
             let stands = now.since(client.phase_since());
             match client.phase() {
                 Phase::Lingering => Some(0),
--- a/src/broker/clients.rs
+++ b/src/broker/clients.rs
@@ -3,7 +3,7 @@
 use super::{Broker, OGC_LISTEN, SLOW};
 use crate::control::Outcome;
 use crate::core::{FinalAnswer, NotAccepted, ReplyId};
-use crate::front::{Pending, Taken};
+use crate::front::{ParsedRequest, PendingRequest};
 use crate::interface::Time;
 use crate::net::client::{Client, ConnectionState, Phase, RequestStatus, TimeoutAction};
 use crate::net::http::Response;
@@ -90,16 +90,18 @@
         let Some(client) = self.clients.get_mut(&key) else { return };
         let (keep_alive, taken) = match client.request() {
             Ok(request) => {
-                (request.keep_alive, self.front.take(client.listener == OGC_LISTEN, &request, able))
+                (request.keep_alive, self.front.parse(client.listener == OGC_LISTEN, &request, able))
+            }
+            Err(error) => {
+                (false, ParsedRequest::Immediate(Response::text(error.status(), error.to_string())))
             }
-            Err(error) => (false, Taken::Answered(Response::text(error.status(), error.to_string()))),
         };
         // The client's time counts from its sending, of which the first byte in is the nearest sign.
         let spent = now.since(client.request_started_at()) + self.settings.router.network_allowance;
         client.consume_request(keep_alive);
         let response = match taken {
-            Taken::Answered(response) => response,
-            Taken::Query(mut query, pending) => {
+            ParsedRequest::Immediate(response) => response,
+            ParsedRequest::Query(mut query, pending) => {
                 query.time_left =
                     query.time_left.saturating_sub(spent).min(self.lifecycle.ends_by.since(now));
                 if let Some(holder) =
@@ -121,7 +123,7 @@
                             NotAccepted::NameInUse => Outcome::Faulted,
                         };
                         self.operations.statistics().request_ended(pending.class, outcome);
-                        self.front.not_taken(&pending, why)
+                        self.front.not_accepted(&pending, why)
                     }
                 }
             }
@@ -170,8 +172,9 @@
     pub(super) fn sweep_clients(&mut self, now: Time) {
         let longest =
             self.settings.router.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-        let expired =
-            |(key, client): (&usize, &Client<Pending>)| Some((*key, client.timeout_action(now, longest)?));
+        let expired = |(key, client): (&usize, &Client<PendingRequest>)| {
+            Some((*key, client.timeout_action(now, longest)?))
+        };
         let expired: Vec<(usize, TimeoutAction)> = self.clients.iter().filter_map(expired).collect();
         for (key, then) in expired {
             match (then, self.clients.get_mut(&key)) {
@@ -185,7 +188,7 @@
         }
         // Answers that are not taken are held too: whoever has taken nothing for longest has the least to lose.
         while self.buffered > self.most_buffered {
-            let slow = |client: &&Client<Pending>| {
+            let slow = |client: &&Client<PendingRequest>| {
                 matches!(client.phase(), Phase::Responding { .. }) && now.since(client.phase_since()) >= SLOW
             };
             let slowest =
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -12,7 +12,7 @@
 
 /// What is kept of a request until its final answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pending {
+pub struct PendingRequest {
     /// Index of its class.
     pub class: usize,
     /// The front that it came on.
@@ -30,17 +30,17 @@
 
 /// What became of a request.
 #[derive(Debug)]
-pub enum Taken {
+pub enum ParsedRequest {
     /// It is answered on the spot.
-    Answered(Response),
+    Immediate(Response),
     /// It asks for a query.
-    Query(NewQuery, Pending),
+    Query(NewQuery, PendingRequest),
 }
 
-impl Taken {
+impl ParsedRequest {
     fn query(query: NewQuery, origin: Origin) -> Self {
         let class = query.class;
-        Taken::Query(query, Pending { class, origin })
+        ParsedRequest::Query(query, PendingRequest { class, origin })
     }
 }
 
@@ -57,27 +57,31 @@
     }
 
     /// Reads a request that came to the OGC front or the platform's; `able` tells if the broker can serve.
-    pub fn take(&mut self, ogc: bool, request: &Request<'_>, able: bool) -> Taken {
+    pub fn parse(&mut self, ogc: bool, request: &Request<'_>, able: bool) -> ParsedRequest {
         let up = || {
-            Taken::Answered(if able { Response::text(200, "up") } else { Response::text(503, "not ready") })
+            ParsedRequest::Immediate(if able {
+                Response::text(200, "up")
+            } else {
+                Response::text(503, "not ready")
+            })
         };
         match (&mut self.ogc, ogc) {
-            (Some(front), true) => match front.read(request, &self.settings) {
-                Ok(ogc::Asked::Ready) => up(),
-                Ok(ogc::Asked::Known(response)) => Taken::Answered(response),
-                Ok(ogc::Asked::Query(query, page)) => Taken::query(query, Origin::Ogc(page)),
-                Err(exception) => Taken::Answered(exception.response()),
+            (Some(front), true) => match front.parse(request, &self.settings) {
+                Ok(ogc::ParsedRequest::Readiness) => up(),
+                Ok(ogc::ParsedRequest::Immediate(response)) => ParsedRequest::Immediate(response),
+                Ok(ogc::ParsedRequest::Query(query, page)) => ParsedRequest::query(query, Origin::Ogc(page)),
+                Err(exception) => ParsedRequest::Immediate(exception.response()),
             },
-            _ => match platform::read(request, &self.settings) {
-                Ok(platform::Asked::Ready) => up(),
-                Ok(platform::Asked::Query(query)) => Taken::query(query, Origin::Platform),
-                Err(response) => Taken::Answered(response),
+            _ => match platform::parse(request, &self.settings) {
+                Ok(platform::ParsedRequest::Readiness) => up(),
+                Ok(platform::ParsedRequest::Query(query)) => ParsedRequest::query(query, Origin::Platform),
+                Err(response) => ParsedRequest::Immediate(response),
             },
         }
     }
 
     /// A final answer, on the wire that the request came on.
-    pub fn answer(&self, pending: &Pending, last: FinalAnswer) -> Response {
+    pub fn answer(&self, pending: &PendingRequest, last: FinalAnswer) -> Response {
         match (&pending.origin, &self.ogc) {
             (Origin::Ogc(page), Some(front)) => front.answer(page, last),
             _ => platform::answer(last),
@@ -85,7 +89,7 @@
     }
 
     /// The answer to a request that the core did not take.
-    pub fn not_taken(&self, pending: &Pending, why: NotAccepted) -> Response {
+    pub fn not_accepted(&self, pending: &PendingRequest, why: NotAccepted) -> Response {
         match (&pending.origin, why) {
             (Origin::Ogc(_), NotAccepted::AtCapacity { retry_after: hold_off }) => {
                 ogc::refusal(hold_off.as_secs_f64())
--- a/src/front/ogc/filter.rs
+++ b/src/front/ogc/filter.rs
@@ -7,7 +7,7 @@
 use quick_xml::events::{BytesStart, Event};
 
 use super::Exception;
-use super::kvp::area;
+use super::kvp::parse_bbox;
 use crate::config::ogc::FeatureType;
 
 /// Filters nest so deep at the most.
@@ -87,7 +87,8 @@
                 |name: &str| envelope.child(name).map(|c| c.text.split_whitespace().collect::<Vec<_>>());
             match (corner("lowerCorner"), corner("upperCorner")) {
                 (Some(low), Some(high)) => {
-                    let area = area(&[low, high].concat().join(","), crs).map_err(|e| invalid(e.text))?;
+                    let area =
+                        parse_bbox(&[low, high].concat().join(","), crs).map_err(|e| invalid(e.text))?;
                     Ok(feature.grid.blocks_in(area))
                 }
                 _ => Err(invalid("the Envelope lacks a corner")),
--- a/src/front/ogc/kvp.rs
+++ b/src/front/ogc/kvp.rs
@@ -10,7 +10,7 @@
 
 impl Params {
     /// Takes a query string apart.
-    pub fn read(query: &str) -> Result<Self, Exception> {
+    pub fn parse(query: &str) -> Result<Self, Exception> {
         let mut params: Vec<(String, String)> = Vec::new();
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
@@ -59,7 +59,7 @@
     }
 
     /// The same request for another page.
-    pub fn page(&self, url: &str, start: usize, count: usize) -> String {
+    pub fn page_url(&self, url: &str, start: usize, count: usize) -> String {
         let kept = self.0.iter().filter(|(name, _)| name != "startindex" && name != "count");
         let kept = kept.map(|(name, value)| format!("{}={}&", name.to_ascii_uppercase(), encode(value)));
         format!("{url}?{}STARTINDEX={start}&COUNT={count}", kept.collect::<String>())
@@ -74,7 +74,7 @@
 }
 
 /// A BBOX parameter: four corners, and the coordinate system if it is named.
-pub fn area(text: &str, crs: &str) -> Result<[f64; 4], Exception> {
+pub fn parse_bbox(text: &str, crs: &str) -> Result<[f64; 4], Exception> {
     let words: Vec<&str> = text.split(',').map(str::trim).collect();
     let (corners, named) = words.split_at(words.len().min(4));
     let corners: Vec<f64> =
--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -14,7 +14,7 @@
 use crate::config::ogc::{FeatureType, OgcConfig};
 use crate::config::settings::SiteSettings;
 use crate::core::{FinalAnswer, NewPart, NewQuery};
-use crate::front::platform::{key, tenant};
+use crate::front::platform::{route_key, tenant_index};
 use crate::net::http::{Request, Response};
 
 use self::kvp::Params;
@@ -53,7 +53,7 @@
 
     /// The report that carries it.
     pub fn response(&self) -> Response {
-        xml::response(self.status, xml::report(self))
+        xml::response(self.status, xml::exception_report(self))
     }
 }
 
@@ -70,11 +70,11 @@
 
 /// What a request asks for.
 #[derive(Debug)]
-pub enum Asked {
+pub enum ParsedRequest {
     /// Whether the broker can serve.
-    Ready,
+    Readiness,
     /// What is known without asking anyone.
-    Known(Response),
+    Immediate(Response),
     /// A page of features.
     Query(NewQuery, Page),
 }
@@ -98,16 +98,20 @@
     /// # Errors
     ///
     /// The exception to a request that asks for nothing that is served here.
-    pub fn read(&mut self, request: &Request<'_>, settings: &SiteSettings) -> Result<Asked, Exception> {
+    pub fn parse(
+        &mut self,
+        request: &Request<'_>,
+        settings: &SiteSettings,
+    ) -> Result<ParsedRequest, Exception> {
         let (path, query) = request.target.split_once('?').unwrap_or((request.target, ""));
         if path == "/up" {
-            return Ok(Asked::Ready);
+            return Ok(ParsedRequest::Readiness);
         }
         if request.method != "GET" {
             let text = "only key-value requests by GET are served";
             return Err(Exception::new("OperationNotSupported", "request", text));
         }
-        let params = Params::read(query)?;
+        let params = Params::parse(query)?;
         let host = request.header("Host").unwrap_or("localhost");
         let service = params.get("service").ok_or_else(|| Exception::missing("service"))?;
         if service != "WFS" {
@@ -117,16 +121,19 @@
         if operation.eq_ignore_ascii_case("GetCapabilities") {
             params.check_accepted_versions()?;
             let body = xml::capabilities(&self.config, &format!("http://{host}{path}"));
-            return Ok(Asked::Known(xml::response(200, body)));
+            return Ok(ParsedRequest::Immediate(xml::response(200, body)));
         }
         match operation.to_ascii_lowercase().as_str() {
             "describefeaturetype" => {
                 params.check_version()?;
-                Ok(Asked::Known(xml::response(200, xml::schema(&self.config, &self.types(&params)?))))
+                Ok(ParsedRequest::Immediate(xml::response(
+                    200,
+                    xml::schema(&self.config, &self.types(&params)?),
+                )))
             }
             "getfeature" => {
                 params.check_version()?;
-                let tenant = tenant(request, settings);
+                let tenant = tenant_index(request, settings);
                 let tenant =
                     tenant.map_err(|fault| Exception::new("NoApplicableCode", "X-Tenant-Id", fault))?;
                 self.get_feature(&params, &format!("http://{host}{path}"), tenant, settings)
@@ -164,7 +171,7 @@
         url: &str,
         tenant: usize,
         settings: &SiteSettings,
-    ) -> Result<Asked, Exception> {
+    ) -> Result<ParsedRequest, Exception> {
         let (kind, blocks) = self.select(params)?;
         if params.get("outputformat").is_some_and(|format| !format.starts_with("application/gml+xml")) {
             return Err(Exception::invalid("outputFormat", "only application/gml+xml is given"));
@@ -183,13 +190,16 @@
         };
         let page: Vec<u32> = blocks.iter().copied().skip(start).take(count).collect();
         let further = start + page.len() < blocks.len() && !page.is_empty();
-        let next = further.then(|| params.page(url, start + page.len(), count));
+        let next = further.then(|| params.page_url(url, start + page.len(), count));
         let matched = blocks.len();
         let known = Page { kind, matched, next };
         if hits || page.is_empty() {
             // How many blocks match is known; nothing has to be asked for no features.
             let known = if hits { Page { next: None, ..known } } else { known };
-            return Ok(Asked::Known(xml::response(200, xml::collection(&self.config, &known, &[], false))));
+            return Ok(ParsedRequest::Immediate(xml::response(
+                200,
+                xml::feature_collection(&self.config, &known, &[], false),
+            )));
         }
         let feature = &self.config.feature_types[kind];
         self.queries += 1;
@@ -201,14 +211,14 @@
             name: format!("ogc-{:016x}-{}", self.run, self.queries),
             class: feature.class,
             tenant,
-            key: Some(key(&about)),
+            key: Some(route_key(&about)),
             is_retry: false,
             time_left: settings.router.classes[feature.class].deadline,
             idempotency_key: None,
             body: text,
             parts: page.iter().map(|&shard| NewPart { shard, weight, hint: None }).collect(),
         };
-        Ok(Asked::Query(query, known))
+        Ok(ParsedRequest::Query(query, known))
     }
 
     /// The feature type asked for, and the blocks of all features that match.
@@ -246,7 +256,7 @@
         let kind = named.ok_or_else(|| Exception::missing("typeNames"))?;
         let feature = &self.config.feature_types[kind];
         let blocks = match (params.get("bbox"), params.get("filter")) {
-            (Some(text), _) => feature.grid.blocks_in(kvp::area(text, &self.config.crs)?),
+            (Some(text), _) => feature.grid.blocks_in(kvp::parse_bbox(text, &self.config.crs)?),
             (None, Some(text)) => filter::blocks(text, feature, &self.config.crs)?,
             (None, None) => feature.grid.blocks().collect(),
         };
@@ -259,11 +269,13 @@
             FinalAnswer::Answered { complete: whole, values } => {
                 let features: Vec<(u32, &str)> = values
                     .iter()
-                    .filter_map(|(block, value)| Some((*block, value.as_deref().filter(|v| xml::fits(v))?)))
+                    .filter_map(|(block, value)| {
+                        Some((*block, value.as_deref().filter(|v| xml::is_valid_text(v))?))
+                    })
                     .collect();
                 // Whatever the module marks, a page that lacks a feature is never passed off as complete.
                 let partial = !whole || features.len() < values.len();
-                xml::response(200, xml::collection(&self.config, page, &features, partial))
+                xml::response(200, xml::feature_collection(&self.config, page, &features, partial))
             }
             FinalAnswer::Refused { retry_after: hold_off } => refusal(hold_off.as_secs_f64()),
             FinalAnswer::Failed => {
@@ -276,7 +288,7 @@
 /// A refusal: whole seconds, as HTTP has them, and never none.
 pub fn refusal(seconds: f64) -> Response {
     let exception = Exception::new("NoApplicableCode", "", "refused for now: try again later");
-    let mut response = xml::response(503, xml::report(&exception));
+    let mut response = xml::response(503, xml::exception_report(&exception));
     response.headers.push(("Retry-After", format!("{}", seconds.ceil().max(1.0) as u64)));
     response
 }
--- a/src/front/ogc/xml.rs
+++ b/src/front/ogc/xml.rs
@@ -21,7 +21,7 @@
 }
 
 /// Whether a value can stand in a document, unchanged when it is read.
-pub fn fits(value: &str) -> bool {
+pub fn is_valid_text(value: &str) -> bool {
     // Readers turn a bare carriage return into a line feed; the rest has no place in XML 1.0 at all.
     value
         .chars()
@@ -29,7 +29,7 @@
 }
 
 /// An exception's report.
-pub fn report(exception: &Exception) -> String {
+pub fn exception_report(exception: &Exception) -> String {
     let locator = match exception.locator.as_str() {
         "" => String::new(),
         locator => format!(" locator=\"{}\"", escape(locator)),
@@ -43,7 +43,12 @@
 }
 
 /// A page of features. One that lacks some says so, and how many match is then left open.
-pub fn collection(config: &OgcConfig, page: &Page, features: &[(u32, &str)], partial: bool) -> String {
+pub fn feature_collection(
+    config: &OgcConfig,
+    page: &Page,
+    features: &[(u32, &str)],
+    partial: bool,
+) -> String {
     let OgcConfig { prefix, namespace, crs, .. } = config;
     let FeatureType { name, grid, .. } = &config.feature_types[page.kind];
     let matched = if partial { "unknown".to_owned() } else { page.matched.to_string() };
@@ -69,8 +74,10 @@
     }
     if partial {
         let exception = Exception::new("OperationProcessingFailed", "", "some tile blocks are not in");
-        out +=
-            &format!("  <wfs:truncatedResponse>{}</wfs:truncatedResponse>\n", report(&exception).trim_end());
+        out += &format!(
+            "  <wfs:truncatedResponse>{}</wfs:truncatedResponse>\n",
+            exception_report(&exception).trim_end()
+        );
     }
     out + "</wfs:FeatureCollection>\n"
 }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -17,9 +17,9 @@
 
 /// What a request asks for.
 #[derive(Debug)]
-pub enum Asked {
+pub enum ParsedRequest {
     /// Whether the broker can serve.
-    Ready,
+    Readiness,
     /// A query.
     Query(NewQuery),
 }
@@ -51,13 +51,13 @@
 /// # Errors
 ///
 /// The answer to a request that asks for nothing that is served here.
-pub fn read(request: &Request<'_>, settings: &SiteSettings) -> Result<Asked, Response> {
+pub fn parse(request: &Request<'_>, settings: &SiteSettings) -> Result<ParsedRequest, Response> {
     let bad = |fault: &str| Response::text(400, fault);
     let path = request.target.split('?').next().unwrap_or("");
     let first = path.trim_start_matches('/').split('/').next().unwrap_or("");
     if path == "/up" {
         return match request.method {
-            "GET" => Ok(Asked::Ready),
+            "GET" => Ok(ParsedRequest::Readiness),
             _ => Err(Response::text(405, "only GET")),
         };
     }
@@ -90,11 +90,11 @@
     if (parts.iter().map(|part| part.weight).sum::<f64>() - 1.0).abs() > WEIGHT_SLACK {
         return Err(bad("tablets: the fractions must add up to 1"));
     }
-    Ok(Asked::Query(NewQuery {
+    Ok(ParsedRequest::Query(NewQuery {
         name,
         class,
-        tenant: tenant(request, settings).map_err(|fault| bad(&fault))?,
-        key: request.header("X-Route-Key").map(key),
+        tenant: tenant_index(request, settings).map_err(|fault| bad(&fault))?,
+        key: request.header("X-Route-Key").map(route_key),
         is_retry: request.header("X-Retried") == Some("1"),
         time_left: left.min(rules.deadline),
         idempotency_key: idempotency,
@@ -109,7 +109,7 @@
 /// # Errors
 ///
 /// Says what the header lacks.
-pub fn tenant(request: &Request<'_>, settings: &SiteSettings) -> Result<usize, String> {
+pub fn tenant_index(request: &Request<'_>, settings: &SiteSettings) -> Result<usize, String> {
     if settings.tenants.is_empty() {
         return Ok(0);
     }
@@ -139,7 +139,7 @@
 }
 
 /// What a query is about, as a number; equal keys give equal ones.
-pub fn key(text: &str) -> u64 {
+pub fn route_key(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         text.bytes()
             .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -25,7 +25,7 @@
     /// The key: a column, or a host's or group's variable.
     pub key: String,
     /// What is wrong.
-    pub fault: String,
+    pub problem: String,
 }
 
 impl fmt::Display for InventoryError {
@@ -34,7 +34,7 @@
         if !self.key.is_empty() {
             write!(f, "{}: ", self.key)?;
         }
-        f.write_str(&self.fault)
+        f.write_str(&self.problem)
     }
 }
 
@@ -103,7 +103,7 @@
 }
 
 /// All faults of an inventory.
-pub fn faults(path: &Path, text: &str) -> Vec<InventoryError> {
+pub fn errors(path: &Path, text: &str) -> Vec<InventoryError> {
     read_all(path, text).1
 }
 
@@ -131,7 +131,7 @@
     }
     faults.sort_by_key(|(line, ..)| *line);
     let file = path.display().to_string();
-    let named = |(line, key, fault)| InventoryError { file: file.clone(), line, key, fault };
+    let named = |(line, key, problem)| InventoryError { file: file.clone(), line, key, problem };
     (servers, faults.into_iter().map(named).collect())
 }
 
@@ -251,12 +251,12 @@
     /// # Errors
     ///
     /// When it can't be used; the last list stays valid.
-    pub fn reread(&mut self, now: Time) -> Result<Option<Listing>, InventoryError> {
+    pub fn read_if_changed(&mut self, now: Time) -> Result<Option<Listing>, InventoryError> {
         let lost = |error: std::io::Error| InventoryError {
             file: self.path.display().to_string(),
             line: 0,
             key: String::new(),
-            fault: error.to_string(),
+            problem: error.to_string(),
         };
         let about = fs::metadata(&self.path).map_err(lost)?;
         let seen = about.modified().ok().map(|at| (at, about.len()));
