--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The fronts: each turns requests on its wire into queries, and final answers back.
+//! Front ends. Each one parses requests of its protocol into queries and encodes the final answers as responses.
 
 pub mod ogc;
 pub mod platform;
@@ -10,30 +10,30 @@
 use crate::core::{FinalAnswer, NewQuery, NotAccepted};
 use crate::net::http::{Request, Response};
 
-/// What is kept of a request until its final answer.
+/// A request whose query is open.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingRequest {
-    /// Index of its class.
+    /// Index of the query's class.
     pub class: usize,
-    /// The front that it came on.
+    /// Front end that received the request.
     pub origin: Origin,
 }
 
-/// What a front keeps of a request until its final answer.
+/// The front end that received a request, and what it needs to encode the final answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Origin {
-    /// It came over the platform's protocol.
+    /// The platform's protocol.
     Platform,
-    /// It is a page of features.
+    /// The OGC front end; the request asked for a page of features.
     Ogc(ogc::Page),
 }
 
-/// What became of a request.
+/// Result of parsing a request.
 #[derive(Debug)]
 pub enum ParsedRequest {
-    /// It is answered on the spot.
+    /// The response is known without a query.
     Immediate(Response),
-    /// It asks for a query.
+    /// The request needs a query.
     Query(NewQuery, PendingRequest),
 }
 
@@ -44,60 +44,59 @@
     }
 }
 
-/// Both fronts over one core.
+/// The platform's front end and the OGC front end, which share one core.
 pub struct Front {
     settings: Arc<SiteSettings>,
     ogc: Option<ogc::Front>,
 }
 
 impl Front {
-    /// The fronts; `run` is new with each start of each broker.
-    pub fn new(settings: Arc<SiteSettings>, ogc: Option<OgcConfig>, run: u64) -> Self {
-        Front { settings, ogc: ogc.map(|config| ogc::Front::new(config, run)) }
+    /// Creates the front ends. `run_id` must be unique among all brokers and their restarts.
+    pub fn new(settings: Arc<SiteSettings>, ogc: Option<OgcConfig>, run_id: u64) -> Self {
+        Front { settings, ogc: ogc.map(|config| ogc::Front::new(config, run_id)) }
     }
 
-    /// Reads a request that came to the OGC front or the platform's; `able` tells if the broker can serve.
-    pub fn parse(&mut self, ogc: bool, request: &Request<'_>, able: bool) -> ParsedRequest {
-        let up = || {
-            ParsedRequest::Immediate(if able {
+    /// Parses a request to the OGC front end (`is_ogc`) or to the platform's. `is_ready` tells whether the broker can
+    /// serve queries; it is the answer to a readiness check.
+    pub fn parse(&mut self, is_ogc: bool, request: &Request<'_>, is_ready: bool) -> ParsedRequest {
+        let readiness = || {
+            ParsedRequest::Immediate(if is_ready {
                 Response::text(200, "up")
             } else {
                 Response::text(503, "not ready")
             })
         };
-        match (&mut self.ogc, ogc) {
+        match (&mut self.ogc, is_ogc) {
             (Some(front), true) => match front.parse(request, &self.settings) {
-                Ok(ogc::ParsedRequest::Readiness) => up(),
+                Ok(ogc::ParsedRequest::Readiness) => readiness(),
                 Ok(ogc::ParsedRequest::Immediate(response)) => ParsedRequest::Immediate(response),
                 Ok(ogc::ParsedRequest::Query(query, page)) => ParsedRequest::query(query, Origin::Ogc(page)),
                 Err(exception) => ParsedRequest::Immediate(exception.response()),
             },
             _ => match platform::parse(request, &self.settings) {
-                Ok(platform::ParsedRequest::Readiness) => up(),
+                Ok(platform::ParsedRequest::Readiness) => readiness(),
                 Ok(platform::ParsedRequest::Query(query)) => ParsedRequest::query(query, Origin::Platform),
                 Err(response) => ParsedRequest::Immediate(response),
             },
         }
     }
 
-    /// A final answer, on the wire that the request came on.
-    pub fn answer(&self, pending: &PendingRequest, last: FinalAnswer) -> Response {
-        match (&pending.origin, &self.ogc) {
-            (Origin::Ogc(page), Some(front)) => front.answer(page, last),
-            _ => platform::answer(last),
+    /// Returns the response for a final answer, in the protocol of the request.
+    pub fn answer(&self, request: &PendingRequest, answer: FinalAnswer) -> Response {
+        match (&request.origin, &self.ogc) {
+            (Origin::Ogc(page), Some(front)) => front.answer(page, answer),
+            _ => platform::answer(answer),
         }
     }
 
-    /// The answer to a request that the core did not take.
-    pub fn not_accepted(&self, pending: &PendingRequest, why: NotAccepted) -> Response {
-        match (&pending.origin, why) {
-            (Origin::Ogc(_), NotAccepted::AtCapacity { retry_after: hold_off }) => {
-                ogc::refusal(hold_off.as_secs_f64())
+    /// Returns the response to a request whose query the core did not accept.
+    pub fn not_accepted(&self, request: &PendingRequest, reason: NotAccepted) -> Response {
+        match (&request.origin, reason) {
+            (Origin::Ogc(_), NotAccepted::AtCapacity { retry_after }) => {
+                ogc::refusal(retry_after.as_secs_f64())
             }
             (Origin::Ogc(_), NotAccepted::NameInUse) => ogc::refusal(0.0),
-            (Origin::Platform, NotAccepted::AtCapacity { retry_after: hold_off }) => {
-                platform::refusal(hold_off)
-            }
+            (Origin::Platform, NotAccepted::AtCapacity { retry_after }) => platform::refusal(retry_after),
             (Origin::Platform, NotAccepted::NameInUse) => Response::text(409, "X-Request-ID: is in use"),
         }
     }
--- a/src/front/ogc/filter.rs
+++ b/src/front/ogc/filter.rs
@@ -1,4 +1,4 @@
-//! The part of the filter encoding that selects tile blocks: BBOX, ResourceId, comparisons of `block`,
+//! The supported subset of Filter Encoding 2.0, which selects tile blocks: BBOX, ResourceId, comparisons of `block`,
 //! And, Or and Not.
 
 use std::collections::BTreeSet;
@@ -10,10 +10,10 @@
 use super::kvp::parse_bbox;
 use crate::config::ogc::FeatureType;
 
-/// Filters nest so deep at the most.
+/// Maximum nesting depth of elements in a filter.
 const MAX_DEPTH: usize = 32;
 
-/// An element with what is in it; names without their prefixes.
+/// An XML element with its content. Names are without namespace prefixes.
 #[derive(Default)]
 struct Element {
     name: String,
@@ -32,11 +32,15 @@
     }
 }
 
-/// The blocks that a filter selects.
+/// Returns the blocks that a filter selects.
+///
+/// # Errors
+///
+/// Returns an exception if the filter is malformed, invalid or not supported.
 pub fn blocks(text: &str, feature: &FeatureType, crs: &str) -> Result<BTreeSet<u32>, Exception> {
     let root = parse(text)?;
     match (root.name.as_str(), root.children.as_slice()) {
-        // Several ResourceIds in one filter select any of them.
+        // Several ResourceId elements in one filter select the union of their features.
         ("Filter", [first, rest @ ..])
             if rest.is_empty() || root.children.iter().all(|c| c.name == "ResourceId") =>
         {
@@ -58,6 +62,7 @@
     Exception::new("OperationParsingFailed", "filter", text)
 }
 
+/// Returns the blocks that an operator selects.
 fn select(element: &Element, feature: &FeatureType, crs: &str) -> Result<BTreeSet<u32>, Exception> {
     let mut inner = element.children.iter().map(|child| select(child, feature, crs));
     let all = || feature.grid.blocks();
@@ -102,16 +107,16 @@
             Ok(all().filter(|b| *b == block && name == feature.name).collect())
         }
         "PropertyIsBetween" => {
-            property(element)?;
+            check_property(element)?;
             let bound = |name: &str| {
                 let bound = element.child(name).ok_or_else(|| invalid(format!("{name} is missing")))?;
-                number(bound.child("Literal").unwrap_or(bound))
+                parse_number(bound.child("Literal").unwrap_or(bound))
             };
             let (low, high) = (bound("LowerBoundary")?, bound("UpperBoundary")?);
             Ok(all().filter(|&b| (low..=high).contains(&f64::from(b))).collect())
         }
         name => {
-            let holds: fn(f64, f64) -> bool = match name {
+            let compare: fn(f64, f64) -> bool = match name {
                 "PropertyIsEqualTo" => |a, b| a == b,
                 "PropertyIsNotEqualTo" => |a, b| a != b,
                 "PropertyIsLessThan" => |a, b| a < b,
@@ -123,16 +128,16 @@
                     return Err(Exception::new("OptionNotSupported", "filter", text));
                 }
             };
-            property(element)?;
+            check_property(element)?;
             let literal = element.child("Literal").ok_or_else(|| invalid("a Literal is missing"))?;
-            let literal = number(literal)?;
-            Ok(all().filter(|&b| holds(f64::from(b), literal)).collect())
+            let literal = parse_number(literal)?;
+            Ok(all().filter(|&b| compare(f64::from(b), literal)).collect())
         }
     }
 }
 
-/// Checks that a comparison is of the block's number.
-fn property(element: &Element) -> Result<(), Exception> {
+/// Checks that a comparison refers to `block`, the only property that can be compared.
+fn check_property(element: &Element) -> Result<(), Exception> {
     let name = element.child("ValueReference").map(|r| r.text.trim());
     let name = name.ok_or_else(|| invalid("a ValueReference is missing"))?;
     match name.rsplit([':', '/']).next() {
@@ -141,39 +146,41 @@
     }
 }
 
-fn number(element: &Element) -> Result<f64, Exception> {
+/// Parses the text of an element as a finite number.
+fn parse_number(element: &Element) -> Result<f64, Exception> {
     let text = element.text.trim();
     let number = text.parse().ok().filter(|x: &f64| x.is_finite());
     number.ok_or_else(|| invalid(format!("{text:?} is no number")))
 }
 
+/// Parses a document and returns its root element.
 fn parse(text: &str) -> Result<Element, Exception> {
     let mut reader = Reader::from_str(text);
-    let mut open: Vec<Element> = vec![Element::default()];
+    let mut open_elements: Vec<Element> = vec![Element::default()];
     loop {
         let event = reader.read_event().map_err(|error| unparsable(error.to_string()))?;
         let closes = matches!(event, Event::Empty(_) | Event::End(_));
         match event {
-            Event::Start(start) | Event::Empty(start) => open.push(element(&start)?),
+            Event::Start(start) | Event::Empty(start) => open_elements.push(read_start(&start)?),
             Event::Text(text) => {
-                if let Some(element) = open.last_mut() {
+                if let Some(element) = open_elements.last_mut() {
                     element.text += &text;
                 }
             }
-            // Numbers and names need no references; a document that declares its own is not read.
+            // Numbers and names need no references, and a document type could declare entities; both are rejected.
             Event::GeneralRef(_) | Event::DocType(_) => return Err(unparsable("references are not read")),
             Event::Eof => break,
             _ => {}
         }
-        if open.len() > MAX_DEPTH {
+        if open_elements.len() > MAX_DEPTH {
             return Err(unparsable("elements nest too deep"));
         }
-        if closes && let Some(done) = open.pop() {
-            let parent = open.last_mut().ok_or_else(|| unparsable("an end without its element"))?;
+        if closes && let Some(done) = open_elements.pop() {
+            let parent = open_elements.last_mut().ok_or_else(|| unparsable("an end without its element"))?;
             parent.children.push(done);
         }
     }
-    match (open.pop(), open.pop()) {
+    match (open_elements.pop(), open_elements.pop()) {
         (Some(mut document), None) if document.children.len() == 1 => {
             document.children.pop().ok_or_else(|| unparsable("is empty"))
         }
@@ -181,7 +188,8 @@
     }
 }
 
-fn element(start: &BytesStart<'_>) -> Result<Element, Exception> {
+/// Returns an element with the name and attributes of a start tag.
+fn read_start(start: &BytesStart<'_>) -> Result<Element, Exception> {
     let mut attributes = Vec::new();
     for attribute in start.attributes() {
         let attribute = attribute.map_err(|error| unparsable(error.to_string()))?;
--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -1,8 +1,8 @@
-//! OGC feature queries: WFS 2.0 in key-value form over `GET`.
+//! Front end for OGC feature queries: WFS 2.0 with key-value parameters (KVP) over `GET`.
 //!
-//! A feature type stands for a class of query, and each tile block for one feature, named
-//! `TYPE.BLOCK`. A request, and each page of it, is one query of the core with the class's give-up time;
-//! nothing is kept between pages, whose order is that of the blocks' numbers.
+//! A feature type corresponds to a class of query, and each tile block to one feature, whose id is
+//! `TYPE.BLOCK`. Each page of a request is one query of the core, with the deadline of the class. Features are in
+//! the order of their blocks' numbers, so no state is kept between pages.
 
 mod filter;
 mod kvp;
@@ -19,16 +19,16 @@
 
 use self::kvp::Params;
 
-/// An exception as the specification words it.
+/// An exception as defined by the specification (OWS Common).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exception {
-    /// Its code.
+    /// Exception code.
     pub code: &'static str,
-    /// The parameter at fault.
+    /// Name of the invalid parameter; empty if there is none.
     pub locator: String,
-    /// What is wrong.
+    /// Description of what is wrong.
     pub text: String,
-    /// The status it comes with.
+    /// HTTP status of the response.
     pub status: u16,
 }
 
@@ -51,53 +51,54 @@
         Exception::new("MissingParameterValue", locator, "is missing")
     }
 
-    /// The report that carries it.
+    /// Returns the response with the exception report.
     pub fn response(&self) -> Response {
         xml::response(self.status, xml::exception_report(self))
     }
 }
 
-/// A page of features that is being queried.
+/// A requested page of features.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Page {
     /// Index of the feature type.
-    kind: usize,
-    /// Features that match on all pages.
+    feature_type: usize,
+    /// Number of features that match, on all pages together.
     matched: usize,
-    /// The request for the next page, if there is one.
+    /// URL of the next page, if there is one.
     next: Option<String>,
 }
 
-/// What a request asks for.
+/// Result of parsing a valid request.
 #[derive(Debug)]
 pub enum ParsedRequest {
-    /// Whether the broker can serve.
+    /// A readiness check.
     Readiness,
-    /// What is known without asking anyone.
+    /// The response is known without a query.
     Immediate(Response),
-    /// A page of features.
+    /// A query for a page of features.
     Query(NewQuery, Page),
 }
 
-/// The front: its configuration, and numbers for its queries.
+/// The OGC front end.
 pub struct Front {
     config: OgcConfig,
-    /// Makes the names of this broker's queries differ from all others'.
-    run: u64,
+    /// Part of the query names, which makes them unique among all brokers and their restarts.
+    run_id: u64,
+    /// Number of queries so far; also part of the query names.
     queries: u64,
 }
 
 impl Front {
-    /// A front; `run` is new with each start of each broker.
-    pub fn new(config: OgcConfig, run: u64) -> Self {
-        Front { config, run, queries: 0 }
+    /// Creates the front end. `run_id` must be unique among all brokers and their restarts.
+    pub fn new(config: OgcConfig, run_id: u64) -> Self {
+        Front { config, run_id, queries: 0 }
     }
 
-    /// Reads a request.
+    /// Parses a request.
     ///
     /// # Errors
     ///
-    /// The exception to a request that asks for nothing that is served here.
+    /// Returns the exception for an invalid or unsupported request.
     pub fn parse(
         &mut self,
         request: &Request<'_>,
@@ -128,14 +129,14 @@
                 params.check_version()?;
                 Ok(ParsedRequest::Immediate(xml::response(
                     200,
-                    xml::schema(&self.config, &self.types(&params)?),
+                    xml::schema(&self.config, &self.requested_types(&params)?),
                 )))
             }
             "getfeature" => {
                 params.check_version()?;
                 let tenant = tenant_index(request, settings);
                 let tenant =
-                    tenant.map_err(|fault| Exception::new("NoApplicableCode", "X-Tenant-Id", fault))?;
+                    tenant.map_err(|problem| Exception::new("NoApplicableCode", "X-Tenant-Id", problem))?;
                 self.get_feature(&params, &format!("http://{host}{path}"), tenant, settings)
             }
             _ => {
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Index of a feature type, by its name with the prefix or without.
-    fn kind(&self, name: &str, locator: &str) -> Result<usize, Exception> {
+    /// Returns the index of a feature type by its name, with or without the prefix.
+    fn type_index(&self, name: &str, locator: &str) -> Result<usize, Exception> {
         let local = match name.split_once(':') {
             Some((prefix, local)) if prefix == self.config.prefix => local,
             Some(_) => "",
@@ -156,12 +157,13 @@
         found.ok_or_else(|| Exception::invalid(locator, format!("{name:?} is no feature type")))
     }
 
-    fn types(&self, params: &Params) -> Result<Vec<&FeatureType>, Exception> {
+    fn requested_types(&self, params: &Params) -> Result<Vec<&FeatureType>, Exception> {
         match params.get("typenames").or(params.get("typename")) {
             None => Ok(self.config.feature_types.iter().collect()),
-            Some(names) => {
-                names.split(',').map(|n| Ok(&self.config.feature_types[self.kind(n, "typeNames")?])).collect()
-            }
+            Some(names) => names
+                .split(',')
+                .map(|n| Ok(&self.config.feature_types[self.type_index(n, "typeNames")?]))
+                .collect(),
         }
     }
 
@@ -172,7 +174,7 @@
         tenant: usize,
         settings: &SiteSettings,
     ) -> Result<ParsedRequest, Exception> {
-        let (kind, blocks) = self.select(params)?;
+        let (feature_type, blocks) = self.select(params)?;
         if params.get("outputformat").is_some_and(|format| !format.starts_with("application/gml+xml")) {
             return Err(Exception::invalid("outputFormat", "only application/gml+xml is given"));
         }
@@ -182,49 +184,50 @@
         let start = params.number("startindex")?.unwrap_or(0) as usize;
         let count =
             params.number("count")?.unwrap_or(self.config.page_size).min(self.config.page_size) as usize;
-        let hits = match params.get("resulttype") {
+        let hits_only = match params.get("resulttype") {
             None => false,
-            Some(kind) if kind.eq_ignore_ascii_case("results") => false,
-            Some(kind) if kind.eq_ignore_ascii_case("hits") => true,
+            Some(value) if value.eq_ignore_ascii_case("results") => false,
+            Some(value) if value.eq_ignore_ascii_case("hits") => true,
             Some(_) => return Err(Exception::invalid("resultType", "must be results or hits")),
         };
-        let page: Vec<u32> = blocks.iter().copied().skip(start).take(count).collect();
-        let further = start + page.len() < blocks.len() && !page.is_empty();
-        let next = further.then(|| params.page_url(url, start + page.len(), count));
+        let page_blocks: Vec<u32> = blocks.iter().copied().skip(start).take(count).collect();
+        let has_next = start + page_blocks.len() < blocks.len() && !page_blocks.is_empty();
+        let next = has_next.then(|| params.page_url(url, start + page_blocks.len(), count));
         let matched = blocks.len();
-        let known = Page { kind, matched, next };
-        if hits || page.is_empty() {
-            // How many blocks match is known; nothing has to be asked for no features.
-            let known = if hits { Page { next: None, ..known } } else { known };
+        let page = Page { feature_type, matched, next };
+        if hits_only || page_blocks.is_empty() {
+            // The number of matching blocks is known, so a response without features needs no query.
+            let page = if hits_only { Page { next: None, ..page } } else { page };
             return Ok(ParsedRequest::Immediate(xml::response(
                 200,
-                xml::feature_collection(&self.config, &known, &[], false),
+                xml::feature_collection(&self.config, &page, &[], false),
             )));
         }
-        let feature = &self.config.feature_types[kind];
+        let feature = &self.config.feature_types[feature_type];
         self.queries += 1;
-        let text = params.selection(&feature.name);
-        let mut about = String::new();
-        let _ = write!(about, "{text} {page:?}");
-        let weight = 1.0 / page.len() as f64;
+        let body = params.selection(&feature.name);
+        let mut key_text = String::new();
+        let _ = write!(key_text, "{body} {page_blocks:?}");
+        let weight = 1.0 / page_blocks.len() as f64;
         let query = NewQuery {
-            name: format!("ogc-{:016x}-{}", self.run, self.queries),
+            name: format!("ogc-{:016x}-{}", self.run_id, self.queries),
             class: feature.class,
             tenant,
-            key: Some(route_key(&about)),
+            key: Some(route_key(&key_text)),
             is_retry: false,
             time_left: settings.router.classes[feature.class].deadline,
             idempotency_key: None,
-            body: text,
-            parts: page.iter().map(|&shard| NewPart { shard, weight, hint: None }).collect(),
+            body,
+            parts: page_blocks.iter().map(|&shard| NewPart { shard, weight, hint: None }).collect(),
         };
-        Ok(ParsedRequest::Query(query, known))
+        Ok(ParsedRequest::Query(query, page))
     }
 
-    /// The feature type asked for, and the blocks of all features that match.
+    /// Returns the index of the requested feature type and the blocks of all matching features.
     fn select(&self, params: &Params) -> Result<(usize, BTreeSet<u32>), Exception> {
-        let given = ["resourceid", "bbox", "filter"].into_iter().filter(|name| params.get(name).is_some());
-        if let [_, second, ..] = given.collect::<Vec<_>>()[..] {
+        let selectors =
+            ["resourceid", "bbox", "filter"].into_iter().filter(|name| params.get(name).is_some());
+        if let [_, second, ..] = selectors.collect::<Vec<_>>()[..] {
             return Err(Exception::invalid(second, "only one of RESOURCEID, BBOX and FILTER may be given"));
         }
         let named = match params.get("typenames").or(params.get("typename")) {
@@ -232,52 +235,53 @@
             Some(names) if names.contains(',') => {
                 return Err(Exception::new("OptionNotSupported", "typeNames", "joins are not served"));
             }
-            Some(name) => Some(self.kind(name, "typeNames")?),
+            Some(name) => Some(self.type_index(name, "typeNames")?),
         };
         if let Some(ids) = params.get("resourceid") {
-            let mut kind = named;
+            let mut feature_type = named;
             let mut blocks = BTreeSet::new();
             for id in ids.split(',') {
                 let (name, block) = id
                     .rsplit_once('.')
                     .and_then(|(name, block)| Some((name, block.parse::<u32>().ok()?)))
                     .ok_or_else(|| Exception::invalid("resourceId", format!("{id:?} is no feature's id")))?;
-                let of = self.kind(name, "resourceId")?;
-                if *kind.get_or_insert(of) != of {
+                let id_type = self.type_index(name, "resourceId")?;
+                if *feature_type.get_or_insert(id_type) != id_type {
                     return Err(Exception::invalid("resourceId", "must be of the one feature type"));
                 }
                 blocks.insert(block);
             }
-            let kind = kind.ok_or_else(|| Exception::missing("typeNames"))?;
-            let there = self.config.feature_types[kind].grid.blocks();
-            blocks.retain(|block| there.contains(block));
-            return Ok((kind, blocks));
+            let feature_type = feature_type.ok_or_else(|| Exception::missing("typeNames"))?;
+            let existing = self.config.feature_types[feature_type].grid.blocks();
+            blocks.retain(|block| existing.contains(block));
+            return Ok((feature_type, blocks));
         }
-        let kind = named.ok_or_else(|| Exception::missing("typeNames"))?;
-        let feature = &self.config.feature_types[kind];
+        let feature_type = named.ok_or_else(|| Exception::missing("typeNames"))?;
+        let feature = &self.config.feature_types[feature_type];
         let blocks = match (params.get("bbox"), params.get("filter")) {
             (Some(text), _) => feature.grid.blocks_in(kvp::parse_bbox(text, &self.config.crs)?),
             (None, Some(text)) => filter::blocks(text, feature, &self.config.crs)?,
             (None, None) => feature.grid.blocks().collect(),
         };
-        Ok((kind, blocks))
+        Ok((feature_type, blocks))
     }
 
-    /// The answer to a page, whole or not.
-    pub fn answer(&self, page: &Page, last: FinalAnswer) -> Response {
-        match last {
-            FinalAnswer::Answered { complete: whole, values } => {
+    /// Returns the response with a page of features, complete or partial, or with an exception.
+    pub fn answer(&self, page: &Page, answer: FinalAnswer) -> Response {
+        match answer {
+            FinalAnswer::Answered { complete, values } => {
                 let features: Vec<(u32, &str)> = values
                     .iter()
                     .filter_map(|(block, value)| {
                         Some((*block, value.as_deref().filter(|v| xml::is_valid_text(v))?))
                     })
                     .collect();
-                // Whatever the module marks, a page that lacks a feature is never passed off as complete.
-                let partial = !whole || features.len() < values.len();
+                // A page that lacks a feature is partial, even if the core marks the answer as complete: a value that
+                // is not valid XML text is left out above.
+                let partial = !complete || features.len() < values.len();
                 xml::response(200, xml::feature_collection(&self.config, page, &features, partial))
             }
-            FinalAnswer::Refused { retry_after: hold_off } => refusal(hold_off.as_secs_f64()),
+            FinalAnswer::Refused { retry_after } => refusal(retry_after.as_secs_f64()),
             FinalAnswer::Failed => {
                 Exception::new("NoApplicableCode", "", "the tile servers did not answer in time").response()
             }
@@ -285,10 +289,10 @@
     }
 }
 
-/// A refusal: whole seconds, as HTTP has them, and never none.
-pub fn refusal(seconds: f64) -> Response {
+/// Returns the response to a refused query. `Retry-After` is in whole seconds, as HTTP requires, and at least 1.
+pub fn refusal(retry_after_seconds: f64) -> Response {
     let exception = Exception::new("NoApplicableCode", "", "refused for now: try again later");
     let mut response = xml::response(503, xml::exception_report(&exception));
-    response.headers.push(("Retry-After", format!("{}", seconds.ceil().max(1.0) as u64)));
+    response.headers.push(("Retry-After", format!("{}", retry_after_seconds.ceil().max(1.0) as u64)));
     response
 }
--- a/src/front/ogc/xml.rs
+++ b/src/front/ogc/xml.rs
@@ -1,4 +1,4 @@
-//! Documents that go to clients.
+//! XML documents for clients.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -8,41 +8,43 @@
 use crate::config::ogc::{FeatureType, OgcConfig};
 use crate::net::http::Response;
 
-const DECLARATION: &str = "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n";
-const OWS: &str = "http://www.opengis.net/ows/1.1";
-const WFS: &str = "http://www.opengis.net/wfs/2.0";
-const GML: &str = "http://www.opengis.net/gml/3.2";
-const FES: &str = "http://www.opengis.net/fes/2.0";
+const XML_DECLARATION: &str = "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n";
+// Namespaces of the specifications.
+const OWS_NS: &str = "http://www.opengis.net/ows/1.1";
+const WFS_NS: &str = "http://www.opengis.net/wfs/2.0";
+const GML_NS: &str = "http://www.opengis.net/gml/3.2";
+const FES_NS: &str = "http://www.opengis.net/fes/2.0";
 
-/// An answer that carries a document.
+/// Returns a response with an XML document; `body` lacks the XML declaration.
 pub fn response(status: u16, body: String) -> Response {
-    let body = (DECLARATION.to_owned() + &body).into_bytes();
+    let body = (XML_DECLARATION.to_owned() + &body).into_bytes();
     Response { status, content_type: "application/xml; charset=utf-8", headers: Vec::new(), body }
 }
 
-/// Whether a value can stand in a document, unchanged when it is read.
+/// Whether a value can be text of an XML document and comes out unchanged when the document is parsed.
 pub fn is_valid_text(value: &str) -> bool {
-    // Readers turn a bare carriage return into a line feed; the rest has no place in XML 1.0 at all.
+    // Parsers replace a carriage return by a line feed. All other characters left out are not allowed in XML 1.0.
     value
         .chars()
         .all(|c| matches!(c, '\t' | '\n' | ' '..='\u{d7ff}' | '\u{e000}'..='\u{fffd}' | '\u{10000}'..))
 }
 
-/// An exception's report.
+/// Returns the exception report of an exception.
 pub fn exception_report(exception: &Exception) -> String {
     let locator = match exception.locator.as_str() {
         "" => String::new(),
         locator => format!(" locator=\"{}\"", escape(locator)),
     };
     format!(
-        "<ows:ExceptionReport xmlns:ows=\"{OWS}\" version=\"2.0.0\">\n  <ows:Exception exceptionCode=\"{}\"{locator}>\
+        "<ows:ExceptionReport xmlns:ows=\"{OWS_NS}\" version=\"2.0.0\">\n  <ows:Exception exceptionCode=\"{}\"{locator}>\
          <ows:ExceptionText>{}</ows:ExceptionText></ows:Exception>\n</ows:ExceptionReport>\n",
         exception.code,
         escape(exception.text.as_str())
     )
 }
 
-/// A page of features. One that lacks some says so, and how many match is then left open.
+/// Returns the feature collection of a page. A partial page has `numberMatched="unknown"` and contains a
+/// truncated response.
 pub fn feature_collection(
     config: &OgcConfig,
     page: &Page,
@@ -50,14 +52,14 @@
     partial: bool,
 ) -> String {
     let OgcConfig { prefix, namespace, crs, .. } = config;
-    let FeatureType { name, grid, .. } = &config.feature_types[page.kind];
+    let FeatureType { name, grid, .. } = &config.feature_types[page.feature_type];
     let matched = if partial { "unknown".to_owned() } else { page.matched.to_string() };
     let next = page.next.as_ref().map(|url| format!(" next=\"{}\"", escape(url.as_str())));
     let mut out = format!(
-        "<wfs:FeatureCollection xmlns:wfs=\"{WFS}\" xmlns:gml=\"{GML}\" xmlns:ows=\"{OWS}\" \
+        "<wfs:FeatureCollection xmlns:wfs=\"{WFS_NS}\" xmlns:gml=\"{GML_NS}\" xmlns:ows=\"{OWS_NS}\" \
          xmlns:{prefix}=\"{}\" timeStamp=\"{}\" numberMatched=\"{matched}\" numberReturned=\"{}\"{}>\n",
         escape(namespace.as_str()),
-        time_stamp(SystemTime::now()),
+        timestamp(SystemTime::now()),
         features.len(),
         next.unwrap_or_default(),
     );
@@ -82,13 +84,13 @@
     out + "</wfs:FeatureCollection>\n"
 }
 
-/// The schema of feature types.
+/// Returns the XML schema of feature types, for DescribeFeatureType.
 pub fn schema(config: &OgcConfig, types: &[&FeatureType]) -> String {
     let OgcConfig { prefix, namespace, .. } = config;
     let namespace = escape(namespace.as_str());
     let mut out = format!(
-        "<xsd:schema xmlns:xsd=\"http://www.w3.org/2001/XMLSchema\" xmlns:gml=\"{GML}\" xmlns:{prefix}=\"{namespace}\" \
-         targetNamespace=\"{namespace}\" elementFormDefault=\"qualified\">\n  <xsd:import namespace=\"{GML}\" \
+        "<xsd:schema xmlns:xsd=\"http://www.w3.org/2001/XMLSchema\" xmlns:gml=\"{GML_NS}\" xmlns:{prefix}=\"{namespace}\" \
+         targetNamespace=\"{namespace}\" elementFormDefault=\"qualified\">\n  <xsd:import namespace=\"{GML_NS}\" \
          schemaLocation=\"http://schemas.opengis.net/gml/3.2.1/gml.xsd\"/>\n"
     );
     for FeatureType { name, .. } in types {
@@ -103,12 +105,12 @@
     out + "</xsd:schema>\n"
 }
 
-/// What the service offers.
+/// Returns the capabilities of the service; `url` is the address of its operations.
 pub fn capabilities(config: &OgcConfig, url: &str) -> String {
     let OgcConfig { prefix, namespace, crs, page_size, .. } = config;
     let (namespace, crs, url) = (escape(namespace.as_str()), escape(crs.as_str()), escape(url));
     let mut out = format!(
-        "<wfs:WFS_Capabilities xmlns:wfs=\"{WFS}\" xmlns:ows=\"{OWS}\" xmlns:fes=\"{FES}\" \
+        "<wfs:WFS_Capabilities xmlns:wfs=\"{WFS_NS}\" xmlns:ows=\"{OWS_NS}\" xmlns:fes=\"{FES_NS}\" \
          xmlns:xlink=\"http://www.w3.org/1999/xlink\" xmlns:{prefix}=\"{namespace}\" version=\"2.0.0\">\n  \
          <ows:ServiceIdentification><ows:Title>badgergauge</ows:Title><ows:ServiceType>WFS</ows:ServiceType>\
          <ows:ServiceTypeVersion>2.0.2</ows:ServiceTypeVersion><ows:ServiceTypeVersion>2.0.0</ows:ServiceTypeVersion>\
@@ -141,23 +143,23 @@
         );
     }
     out += "  </wfs:FeatureTypeList>\n  <fes:Filter_Capabilities>\n    <fes:Conformance>\n";
-    let conforms = [
+    let conformance = [
         ("ImplementsResourceId", "TRUE"),
         ("ImplementsMinStandardFilter", "TRUE"),
         ("ImplementsMinSpatialFilter", "TRUE"),
     ];
-    for (name, value) in conforms {
+    for (name, value) in conformance {
         let value = format!("<ows:NoValues/><ows:DefaultValue>{value}</ows:DefaultValue>");
         out += &format!("      <fes:Constraint name=\"{name}\">{value}</fes:Constraint>\n");
     }
     out + "    </fes:Conformance>\n  </fes:Filter_Capabilities>\n</wfs:WFS_Capabilities>\n"
 }
 
-/// A time as XML has it, in UTC.
-fn time_stamp(at: SystemTime) -> String {
+/// Formats a time as an XML `dateTime` in UTC.
+fn timestamp(at: SystemTime) -> String {
     let seconds = at.duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
     let (days, rest) = (seconds / 86_400, seconds % 86_400);
-    // Days since 0000-03-01, in eras of 400 years.
+    // Days since 0000-03-01, in eras of 400 years: years that start in March have the leap day at their end.
     let days = days + 719_468;
     let (era, day) = (days / 146_097, days % 146_097);
     let year = (day - day / 1460 + day / 36_524 - day / 146_096) / 365;
@@ -176,10 +178,10 @@
 
     use super::*;
 
-    // Guards against a date that is off around a leap day.
+    // Guards against a date that is wrong around a leap day.
     #[test]
-    fn time_stamps_are_utc_dates() {
-        let at = |seconds| time_stamp(UNIX_EPOCH + Duration::from_secs(seconds));
+    fn timestamps_are_utc_dates() {
+        let at = |seconds| timestamp(UNIX_EPOCH + Duration::from_secs(seconds));
         assert_eq!(at(0), "1970-01-01T00:00:00Z");
         assert_eq!(at(951_782_399), "2000-02-28T23:59:59Z");
         assert_eq!(at(951_782_400), "2000-02-29T00:00:00Z");
