--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -13,7 +13,7 @@
 
 use crate::config::ogc::yaml_message;
 use crate::core::Member;
-use crate::discovery::Listing;
+use crate::discovery::ServerList;
 use crate::interface::{ServerState, Time};
 
 /// An error in an inventory.
@@ -288,7 +288,7 @@
     /// # Errors
     ///
     /// Returns an error if the file can't be read or is invalid; the last list stays valid.
-    pub fn read_if_changed(&mut self, now: Time) -> Result<Option<Listing>, InventoryError> {
+    pub fn read_if_changed(&mut self, now: Time) -> Result<Option<ServerList>, InventoryError> {
         let unreadable = |error: std::io::Error| InventoryError {
             file: self.path.display().to_string(),
             line: 0,
@@ -315,6 +315,6 @@
         }
         self.started = started;
         self.reads += 1;
-        Ok(Some(Listing { index: self.reads, whole: true, members }))
+        Ok(Some(ServerList { index: self.reads, is_full: true, members }))
     }
 }
