--- a/src/broker.rs
+++ b/src/broker.rs
@@ -21,12 +21,12 @@
 use self::signals::SignalFlags;
 use self::upgrade::{newer_list, open_store};
 use crate::backend::{Backend, Done, Flushed};
-use crate::config::Config;
 use crate::config::settings::SiteSettings;
+use crate::config::{Config, PeerAddresses};
 use crate::control::{Endpoint, EndpointConfig, Operations, Statistics};
 use crate::core::{Command, Core};
 use crate::discovery::{CallSchedule, ServerList, Source, Watch};
-use crate::front::{Front, Pending};
+use crate::front::{Front, PendingRequest};
 use crate::interface::{LoadReport, Time, Verdict};
 use crate::inventory::Inventory;
 use crate::lifecycle::{Lifecycle, Phase as LifecyclePhase};
@@ -110,7 +110,7 @@
     signal_flags: SignalFlags,
     /// The configuration it was started with; a reload updates only discovery's address.
     config: Config,
-    clients: HashMap<usize, Client<Pending>>,
+    clients: HashMap<usize, Client<PendingRequest>>,
     /// How many clients may be connected at present.
     max_clients: usize,
     /// How many clients may be connected while no other process of this broker runs.
@@ -157,16 +157,16 @@
         let mut core =
             Core::new(settings.clone(), config.seed).map_err(|error| invalid(error.to_string()))?;
         let trace = TraceRecorder::start(&config, &clock, &mut core)?;
-        let max_backend_connections = config.bounds.sockets / BACKEND_DESCRIPTOR_DIVISOR;
-        let memory = config.bounds.memory_mb * 1024 * 1024;
+        let max_backend_connections = config.limits.sockets / BACKEND_DESCRIPTOR_DIVISOR;
+        let memory = config.limits.memory_mb * 1024 * 1024;
         let max_by_memory = memory / CLIENT_MEMORY_DIVISOR / IDLE_CLIENT_BYTES;
         let has_control = config.control.is_some();
-        let max_connections = config.bounds.sockets / OPERATOR_DESCRIPTOR_DIVISOR;
+        let max_connections = config.limits.sockets / OPERATOR_DESCRIPTOR_DIVISOR;
         let endpoint_config = config.control.map(|address| EndpointConfig { address, max_connections });
         let reserved =
             RESERVED_DESCRIPTORS + endpoint_config.map_or(0, |endpoint| endpoint.max_descriptors());
         let fixed_descriptors = reserved + max_backend_connections;
-        let max_by_descriptors = config.bounds.sockets.saturating_sub(fixed_descriptors);
+        let max_by_descriptors = config.limits.sockets.saturating_sub(fixed_descriptors);
         let max_clients = max_by_descriptors.min(max_by_memory).max(1);
         let operations = Arc::new(Operations::new(Statistics::new(&settings.classes)));
         if let Some(endpoint_config) = endpoint_config {
@@ -175,7 +175,7 @@
             tracing::info!("{} listens to operators on {}", config.name, endpoint.address());
         }
         let mut backend = Backend::new(settings.clone(), max_backend_connections);
-        let known = config.known.take().map(|known| ServerList::from_value(&known, &clock)).transpose();
+        let known = config.known_servers.take().map(|known| ServerList::from_value(&known, &clock)).transpose();
         let mut known = known.map_err(|error| invalid(format!("known.{error}")))?;
         let directory = has_control.then(shared_directory).flatten();
         let (mut upgrade, offer) =
@@ -190,7 +190,7 @@
         let mut inventory = config.ogc.as_ref().and_then(|ogc| ogc.inventory.clone()).map(Inventory::new);
         if let Some(list) = inventory
             .as_mut()
-            .map(|i| i.reread(clock.now()))
+            .map(|i| i.read_if_changed(clock.now()))
             .transpose()
             .map_err(|e| invalid(e.to_string()))?
             .flatten()
@@ -201,13 +201,13 @@
             let source = Source::from_settings(&settings.router, settings.drain_grace);
             Watch::new(at, known.as_ref(), clock, CallSchedule::new(clock.now(), source, config.seed))
         });
-        let peers = config.peers.take().filter(|(_, addresses)| {
-            core.gossip_enabled() && addresses.len() == settings.router.front_nodes as usize
+        let peers = config.peers.take().filter(|peers| {
+            core.gossip_enabled() && peers.brokers.len() == settings.router.front_nodes as usize
         });
-        let peers = peers.map(|(at, addresses)| {
-            let adopted = upgrade.as_mut().and_then(|upgrade: &mut Upgrade| upgrade.take_udp_socket(at));
-            let socket = adopted.map_or_else(|| bind_udp(at, has_control), Ok);
-            socket.map(|socket| GossipPeers { socket, addresses })
+        let peers = peers.map(|PeerAddresses { listen, brokers }| {
+            let adopted = upgrade.as_mut().and_then(|upgrade: &mut Upgrade| upgrade.take_udp_socket(listen));
+            let socket = adopted.map_or_else(|| bind_udp(listen, has_control), Ok);
+            socket.map(|socket| GossipPeers { socket, addresses: brokers })
         });
         let peers = peers.transpose().map_err(|error| invalid(format!("peer_listen: {error}")))?;
         let front = Front::new(settings.clone(), config.ogc.clone(), config.seed);
@@ -535,7 +535,7 @@
             .max(self.settings.router.tick);
         self.net.timers.arm(now.after(interval), TimerEvent::IdleSweep);
         self.backend.sweep(&self.net, now);
-        match self.inventory.as_mut().map(|inventory| inventory.reread(now)) {
+        match self.inventory.as_mut().map(|inventory| inventory.read_if_changed(now)) {
             Some(Ok(Some(list))) => apply_list(&mut self.core, &mut self.backend, &list, None),
             Some(Err(error)) => tracing::warn!("{error}"),
             _ => {}
--- a/src/broker/accept.rs
+++ b/src/broker/accept.rs
@@ -7,7 +7,7 @@
 
 use super::upgrade::role_of;
 use super::{Broker, CLIENT_LISTENER_KEY, OGC_LISTENER_KEY, PEERS_KEY, SLOW_CLIENT_AFTER};
-use crate::front::Pending;
+use crate::front::PendingRequest;
 use crate::interface::Time;
 use crate::net::client::{Client, ConnectionState, Phase};
 use crate::net::http::Response;
@@ -102,7 +102,7 @@
     /// longest; one whose request makes no progress, which gets a 503 response; one that does not read its
     /// response.
     pub(super) fn make_room(&mut self, now: Time) -> bool {
-        let rank = |client: &Client<Pending>| {
+        let rank = |client: &Client<PendingRequest>| {
             let phase_age = now.since(client.phase_since());
             match client.phase() {
                 Phase::Lingering => Some(0),
--- a/src/broker/clients.rs
+++ b/src/broker/clients.rs
@@ -3,7 +3,7 @@
 use super::{Broker, OGC_LISTENER_KEY, SLOW_CLIENT_AFTER};
 use crate::control::Outcome;
 use crate::core::{FinalAnswer, NotAccepted, ReplyId};
-use crate::front::{Pending, Taken};
+use crate::front::{ParsedRequest, PendingRequest};
 use crate::interface::Time;
 use crate::net::client::{Client, ConnectionState, Phase, RequestStatus, TimeoutAction};
 use crate::net::http::Response;
@@ -93,17 +93,17 @@
         let (keep_alive, taken) = match client.request() {
             Ok(request) => (
                 request.keep_alive,
-                self.front.take(client.listener == OGC_LISTENER_KEY, &request, can_serve),
+                self.front.parse(client.listener == OGC_LISTENER_KEY, &request, can_serve),
             ),
-            Err(error) => (false, Taken::Answered(Response::text(error.status(), error.to_string()))),
+            Err(error) => (false, ParsedRequest::Immediate(Response::text(error.status(), error.to_string()))),
         };
         // The time limit counts from when the client sent the request; the first byte received is the best
         // estimate.
         let spent = now.since(client.request_started_at()) + self.settings.router.network_allowance;
         client.consume_request(keep_alive);
         let response = match taken {
-            Taken::Answered(response) => response,
-            Taken::Query(mut query, pending) => {
+            ParsedRequest::Immediate(response) => response,
+            ParsedRequest::Query(mut query, pending) => {
                 query.time_left =
                     query.time_left.saturating_sub(spent).min(self.lifecycle.shutdown_deadline.since(now));
                 if let Some(earlier) =
@@ -125,7 +125,7 @@
                             NotAccepted::NameInUse => Outcome::Faulted,
                         };
                         self.operations.statistics().request_ended(pending.class, outcome);
-                        self.front.not_taken(&pending, reason)
+                        self.front.not_accepted(&pending, reason)
                     }
                 }
             }
@@ -175,7 +175,7 @@
     pub(super) fn sweep_clients(&mut self, now: Time) {
         let longest_deadline =
             self.settings.router.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-        let expired = |(key, client): (&usize, &Client<Pending>)| {
+        let expired = |(key, client): (&usize, &Client<PendingRequest>)| {
             Some((*key, client.timeout_action(now, longest_deadline)?))
         };
         let expired: Vec<(usize, TimeoutAction)> = self.clients.iter().filter_map(expired).collect();
@@ -192,7 +192,7 @@
         // Unread responses occupy memory too: the clients that have read nothing for the longest time are
         // closed first.
         while self.buffered_bytes > self.max_buffered_bytes {
-            let slow = |client: &&Client<Pending>| {
+            let slow = |client: &&Client<PendingRequest>| {
                 matches!(client.phase(), Phase::Responding { .. })
                     && now.since(client.phase_since()) >= SLOW_CLIENT_AFTER
             };
--- a/src/broker/signals.rs
+++ b/src/broker/signals.rs
@@ -47,14 +47,14 @@
     /// Reloads the configuration, entirely or not at all, and moves the watch to the configured discovery
     /// address.
     pub(super) fn reload(&mut self, now: Time) {
-        let config = match Config::reread() {
+        let config = match Config::reload() {
             Ok(config) => config,
             Err(error) => {
                 tracing::warn!("reload: the configuration stays unchanged: {error}");
                 return;
             }
         };
-        let mut kept = config.kept_until_restart(&self.config);
+        let mut kept = config.changes_needing_restart(&self.config);
         match &mut self.trace {
             Some(trace) => kept.extend(trace.reload(config.service.trace.as_ref())),
             None if config.service.trace.is_some() => kept.push("trace"),
--- a/src/broker/upgrade.rs
+++ b/src/broker/upgrade.rs
@@ -53,7 +53,7 @@
 
     /// How many clients this process and a second one may each have connected.
     fn joint_limits(&self, predecessor_clients: usize) -> ClientLimits {
-        joint_client_limits(self.config.bounds.sockets, self.fixed_descriptors, predecessor_clients)
+        joint_client_limits(self.config.limits.sockets, self.fixed_descriptors, predecessor_clients)
     }
 
     /// Stops accepting because the successor accepts now. The sockets are kept in case the successor fails.
--- a/src/log.rs
+++ b/src/log.rs
@@ -13,7 +13,7 @@
 use tracing_subscriber::fmt::{FmtContext, MakeWriter};
 use tracing_subscriber::registry::LookupSpan;
 
-use crate::config::service::Log;
+use crate::config::service::LogConfig;
 
 /// Lines that may be queued for writing.
 const MAX_QUEUED_LINES: usize = 1024;
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// Returns an error if a log is already set up.
-pub fn start(log: Log) -> Result<Guard, String> {
+pub fn start(log: LogConfig) -> Result<Guard, String> {
     let (writer, guard) = writer(io::stderr());
     let started = if log.json {
         let builder = tracing_subscriber::fmt().json().flatten_event(true).with_target(false);
--- a/src/record.rs
+++ b/src/record.rs
@@ -8,7 +8,7 @@
 use badgergauge_trace::{Record, Source};
 
 use crate::config::Config;
-use crate::config::service::Trace;
+use crate::config::service::TraceConfig;
 use crate::core::Core;
 use crate::interface::Time;
 use crate::net::clock::Clock;
@@ -16,12 +16,12 @@
 /// The trace recorder of a broker.
 pub struct TraceRecorder {
     recorder: Recorder,
-    settings: Trace,
+    settings: TraceConfig,
     /// The sequence number of the last step.
     last_sequence: u64,
 }
 
-fn limits(trace: &Trace) -> Limits {
+fn limits(trace: &TraceConfig) -> Limits {
     Limits { file_bytes: trace.file_bytes, file_age: trace.file_age, total_bytes: trace.total_bytes }
 }
 
@@ -68,7 +68,7 @@
 
     /// Starts a new file and applies changed limits. Returns the name of the section if other settings
     /// differ: those take effect at the next start.
-    pub fn reload(&mut self, trace: Option<&Trace>) -> Option<&'static str> {
+    pub fn reload(&mut self, trace: Option<&TraceConfig>) -> Option<&'static str> {
         let (changed, limits) = match trace {
             None => (true, None),
             Some(trace) => {
