--- a/src/backend.rs
+++ b/src/backend.rs
@@ -1,45 +1,63 @@
 //! Tile servers: attempts at them, over the few connections that carry their frames.
 
+mod cancel;
+mod connect_time;
 mod connection;
 mod connection_losses;
 mod frame;
-mod give_up;
+mod liveness;
 mod selection;
-mod setup_time;
-mod silence;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
+use self::cancel::{GIVE_UP_READ_WITHIN, HeldOutcome};
+use self::connect_time::ConnectTime;
 use self::connection::{CarriedPart, Connection};
 use self::connection_losses::ConnectionLosses;
 use self::frame::{Frame, read_answer, read_report};
-use self::give_up::{GIVE_UP_READ_WITHIN, HeldOutcome};
-use self::setup_time::SetupTime;
-use self::silence::QUIET_PART;
+use self::liveness::QUIET_PART;
 use crate::config::settings::SiteSettings;
 use crate::core::{AttemptId, SendAttempt};
 use crate::interface::{LoadReport, RetrySafety, ServerId, Time, Verdict};
 use crate::net::{Net, TimerEvent};
 
-/// Something that ended at a server.
+/// The result of an attempt or a probe.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Done {
-    /// An attempt.
-    Attempt(AttemptId, Verdict, Option<String>, LoadReport),
-    /// A probe, and how long it took.
-    Probe(ServerId, Verdict, Duration, LoadReport),
+pub enum Completion {
+    /// The result of an attempt.
+    Attempt {
+        /// The attempt.
+        attempt: AttemptId,
+        /// Its outcome.
+        verdict: Verdict,
+        /// The value that the server returned, if it served the part.
+        value: Option<String>,
+        /// The load report that came with the response.
+        load: LoadReport,
+    },
+    /// The result of a probe.
+    Probe {
+        /// The server that was probed.
+        server: ServerId,
+        /// The outcome of the probe.
+        verdict: Verdict,
+        /// Time from queueing the probe to its response; zero if there was none.
+        round_trip: Duration,
+        /// The load report that came with the response.
+        load: LoadReport,
+    },
 }
 
 /// How far a call of [`Backend::flush`] came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flushed {
+pub enum FlushStatus {
     /// All was written that the sockets take.
-    All,
+    Complete,
     /// A write took long, and others wait.
-    HeldUp,
+    Yielded,
 }
 
 struct Server {
@@ -74,13 +92,13 @@
     unflushed: Vec<usize>,
     step: u64,
     /// How long connections take to come up.
-    setup: SetupTime,
+    setup: ConnectTime,
     /// Connections that were probed for their silence, and those of them that were dead; both are halved now and then.
     probed: [f64; 2],
     /// Attempts whose last byte was written since this was last taken.
     relayed: u64,
     /// What has ended and has not been taken yet.
-    pub done: Vec<Done>,
+    pub completions: Vec<Completion>,
     /// The time of the latest call that told it.
     now: Time,
     /// Outcomes of attempts that were given up, until their servers have heard so.
@@ -99,7 +117,7 @@
         let aim = settings.router.shortest_aim();
         Backend {
             least_quiet: aim / QUIET_PART,
-            setup: SetupTime::for_aim(aim, settings.connect_timeout),
+            setup: ConnectTime::for_aim(aim, settings.connect_timeout),
             settings,
             most,
             servers: HashMap::new(),
@@ -109,7 +127,7 @@
             step: 0,
             probed: [0.0; 2],
             relayed: 0,
-            done: Vec::new(),
+            completions: Vec::new(),
             now: Time(0),
             held_outcomes: Vec::new(),
             held_outcomes_due: None,
@@ -118,7 +136,7 @@
     }
 
     /// A server may be sent to at this address; connections to an older one get nothing new.
-    pub fn open(&mut self, server: ServerId, address: SocketAddr) {
+    pub fn enable_server(&mut self, server: ServerId, address: SocketAddr) {
         let known = self.servers.entry(server).or_insert_with(|| Server {
             address,
             open: true,
@@ -131,7 +149,7 @@
 
     /// A server may be sent nothing new: what is queued and not begun comes back unsent. A send counts
     /// from its first byte, so a frame that was begun is finished.
-    pub fn shut(&mut self, server: ServerId) {
+    pub fn disable_server(&mut self, server: ServerId) {
         let Some(state) = self.servers.get_mut(&server) else { return };
         state.open = false;
         for key in state.connections.clone() {
@@ -142,7 +160,12 @@
                     Frame::Query(parts) => {
                         for (name, send) in parts {
                             connection.parts.remove(&name);
-                            finish(&mut self.attempts, &mut self.done, send.attempt, Verdict::NoConnection);
+                            finish(
+                                &mut self.attempts,
+                                &mut self.completions,
+                                send.attempt,
+                                Verdict::NoConnection,
+                            );
                         }
                     }
                     Frame::Probe => drop(connection.probes.pop_back()),
@@ -163,7 +186,12 @@
         self.now = self.now.max(now);
         let name = format!("{}.{}", send.query, send.shard);
         let Some(key) = self.connection_for(net, now, send.server, &name) else {
-            self.done.push(Done::Attempt(send.attempt, Verdict::NoConnection, None, LoadReport::default()));
+            self.completions.push(Completion::Attempt {
+                attempt: send.attempt,
+                verdict: Verdict::NoConnection,
+                value: None,
+                load: LoadReport::default(),
+            });
             return;
         };
         let (attempt, quiet, step) = (send.attempt, send.aim / QUIET_PART, self.step);
@@ -232,8 +260,12 @@
                 self.unflushed.push(key);
             }
             None => {
-                let load = LoadReport::default();
-                self.done.push(Done::Probe(server, Verdict::NoConnection, Duration::ZERO, load));
+                self.completions.push(Completion::Probe {
+                    server,
+                    verdict: Verdict::NoConnection,
+                    round_trip: Duration::ZERO,
+                    load: LoadReport::default(),
+                });
             }
         }
     }
@@ -250,12 +282,12 @@
 
     /// Writes what was queued; the step's frames are complete with this. Where a write has taken long, what is left is
     /// written by the next call: a client may have gone meanwhile, or a server have begun to drain.
-    pub fn flush(&mut self, net: &mut Net, now: Time) -> Flushed {
+    pub fn flush(&mut self, net: &mut Net, now: Time) -> FlushStatus {
         self.now = self.now.max(now);
         self.step += 1;
         let mut unflushed = std::mem::take(&mut self.unflushed).into_iter();
-        let mut flushed = Flushed::All;
-        while flushed == Flushed::All
+        let mut flushed = FlushStatus::Complete;
+        while flushed == FlushStatus::Complete
             && let Some(key) = unflushed.next()
         {
             let Some(connection) = self.connections.get_mut(&key).filter(|connection| connection.connected)
@@ -270,7 +302,7 @@
                 Err(_) => self.drop_connection(net, key, ClosedBy::Peer),
             }
             if unflushed.len() > 0 && net.clock.is_stale(now) {
-                flushed = Flushed::HeldUp;
+                flushed = FlushStatus::Yielded;
             }
         }
         self.unflushed.extend(unflushed);
@@ -282,12 +314,12 @@
     fn finish_late(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         for attempt in std::mem::take(&mut connection.late) {
-            finish(&mut self.attempts, &mut self.done, attempt, Verdict::NotSent);
+            finish(&mut self.attempts, &mut self.completions, attempt, Verdict::NotSent);
         }
     }
 
     /// Does what a connection is ready for. Gives whether the key is one of a connection here.
-    pub fn ready(&mut self, net: &mut Net, now: Time, key: usize, readable: bool) -> bool {
+    pub fn on_ready(&mut self, net: &mut Net, now: Time, key: usize, readable: bool) -> bool {
         self.now = self.now.max(now);
         let Some(connection) = self.connections.get_mut(&key) else { return false };
         let mut result = Ok(());
@@ -343,7 +375,7 @@
 
     /// A frame that was begun should be whole by now: a server writes each at once, so one that stays
     /// unfinished has a length that does not fit, and would swallow all answers behind it.
-    pub fn stalled(&mut self, net: &Net, now: Time, key: usize) {
+    pub fn on_response_stalled(&mut self, net: &Net, now: Time, key: usize) {
         self.now = self.now.max(now);
         let limit = now.before(self.stall());
         let begun = self.connections.get(&key).and_then(|connection| connection.begun);
@@ -354,7 +386,7 @@
     }
 
     /// The time for a connection to come up is over.
-    pub fn connect_time_out(&mut self, net: &Net, key: usize) {
+    pub fn on_connect_timeout(&mut self, net: &Net, key: usize) {
         if self.connections.get(&key).is_some_and(|connection| !connection.connected) {
             self.drop_connection(net, key, ClosedBy::Broker);
         }
@@ -427,16 +459,21 @@
         }
         for (name, part) in parts {
             if part.written.is_none() {
-                finish(&mut self.attempts, &mut self.done, part.attempt, Verdict::NoConnection);
+                finish(&mut self.attempts, &mut self.completions, part.attempt, Verdict::NoConnection);
             } else if closed_by == ClosedBy::Peer {
-                finish(&mut self.attempts, &mut self.done, part.attempt, Verdict::ConnectionLost);
+                finish(&mut self.attempts, &mut self.completions, part.attempt, Verdict::ConnectionLost);
             } else {
                 self.hold(part.attempt, Verdict::ConnectionLost, key, name, heard);
             }
         }
         for _ in connection.probes {
             let verdict = if connection.connected { Verdict::ConnectionLost } else { Verdict::NoConnection };
-            self.done.push(Done::Probe(connection.server, verdict, Duration::ZERO, LoadReport::default()));
+            self.completions.push(Completion::Probe {
+                server: connection.server,
+                verdict,
+                round_trip: Duration::ZERO,
+                load: LoadReport::default(),
+            });
         }
     }
 
@@ -457,7 +494,12 @@
                 }
                 // One that was given up is disregarded: its attempt has had its outcome.
                 if part.abandoned.is_none() && self.attempts.remove(&part.attempt).is_some() {
-                    self.done.push(Done::Attempt(part.attempt, verdict, value, load));
+                    self.completions.push(Completion::Attempt {
+                        attempt: part.attempt,
+                        verdict,
+                        value,
+                        load,
+                    });
                 }
                 connection.parts.remove(name);
                 name.clone_into(&mut connection.answered);
@@ -471,7 +513,12 @@
                     b"broke" => (Verdict::Error, LoadReport::default()),
                     report => (Verdict::Served, read_report(&String::from_utf8_lossy(report))),
                 };
-                self.done.push(Done::Probe(server, verdict, now.since(sent), load));
+                self.completions.push(Completion::Probe {
+                    server,
+                    verdict,
+                    round_trip: now.since(sent),
+                    load,
+                });
             }
             Some((b'e', words)) => {
                 tracing::warn!("a frame was not understood: {}", String::from_utf8_lossy(words));
@@ -489,12 +536,12 @@
 
 fn finish(
     attempts: &mut HashMap<AttemptId, usize>,
-    done: &mut Vec<Done>,
+    done: &mut Vec<Completion>,
     attempt: AttemptId,
     verdict: Verdict,
 ) {
     if attempts.remove(&attempt).is_some() {
-        done.push(Done::Attempt(attempt, verdict, None, LoadReport::default()));
+        done.push(Completion::Attempt { attempt, verdict, value: None, load: LoadReport::default() });
     }
 }
 
--- a/src/backend/give_up.rs
+++ b/src/backend/cancel.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::frame::Frame;
-use super::{Backend, Done, finish};
+use super::{Backend, Completion, finish};
 use crate::core::AttemptId;
 use crate::interface::{LoadReport, Time, Verdict};
 use crate::net::{Net, TimerEvent};
@@ -21,14 +21,14 @@
     /// The connection that carries the word, and the part's id on it.
     pub(super) key: usize,
     name: String,
-    done: Done,
+    done: Completion,
 }
 
 impl Backend {
     /// Stops waiting for an attempt, with this verdict if it may have run.
-    pub fn give_up(&mut self, now: Time, attempt: AttemptId, verdict: Verdict) {
+    pub fn cancel(&mut self, now: Time, attempt: AttemptId, verdict: Verdict) {
         self.now = self.now.max(now);
-        self.take_back(now, attempt);
+        self.withdraw(now, attempt);
         let Some(&key) = self.attempts.get(&attempt) else { return };
         let Some(connection) = self.connections.get_mut(&key) else { return };
         let Some((name, part)) = connection.parts.iter_mut().find(|(_, part)| part.attempt == attempt) else {
@@ -44,14 +44,14 @@
     }
 
     /// Takes an attempt back if nothing of it has been written: it never began, and never will.
-    pub fn take_back(&mut self, now: Time, attempt: AttemptId) {
+    pub fn withdraw(&mut self, now: Time, attempt: AttemptId) {
         self.now = self.now.max(now);
         let Some(connection) = self.attempts.get(&attempt).and_then(|key| self.connections.get_mut(key))
         else {
             return;
         };
         if connection.take_back(attempt) {
-            finish(&mut self.attempts, &mut self.done, attempt, Verdict::NotSent);
+            finish(&mut self.attempts, &mut self.completions, attempt, Verdict::NotSent);
         }
     }
 
@@ -59,7 +59,7 @@
     /// [`finish`] for such attempts.
     pub(super) fn hold(&mut self, attempt: AttemptId, verdict: Verdict, key: usize, name: String, due: Time) {
         if self.attempts.remove(&attempt).is_some() {
-            let done = Done::Attempt(attempt, verdict, None, LoadReport::default());
+            let done = Completion::Attempt { attempt, verdict, value: None, load: LoadReport::default() };
             self.held_outcomes.push(HeldOutcome { due, key, name, done });
         }
     }
@@ -84,7 +84,7 @@
             };
             if heard <= now {
                 let held = self.held_outcomes.swap_remove(index);
-                self.done.push(held.done);
+                self.completions.push(held.done);
             } else {
                 held.due = heard;
                 index += 1;
--- a/src/backend/setup_time.rs
+++ b/src/backend/connect_time.rs
@@ -13,21 +13,21 @@
 /// part that waits for a connection to one would else lose the whole connect time-out, and each of many
 /// brokers loses that for each such machine. Costs a connection that a standing server would have accepted
 /// later.
-pub(super) struct SetupTime {
+pub(super) struct ConnectTime {
     least: Duration,
     most: Duration,
     /// Mean and mean deviation, in seconds.
     seen: Option<[f64; 2]>,
 }
 
-impl SetupTime {
+impl ConnectTime {
     /// For a site's shortest aim; `most` is the settings' own limit.
     pub(super) fn for_aim(aim: Duration, most: Duration) -> Self {
-        SetupTime::new(aim / SETUP_PART, most)
+        ConnectTime::new(aim / SETUP_PART, most)
     }
 
     pub(super) fn new(least: Duration, most: Duration) -> Self {
-        SetupTime { least, most, seen: None }
+        ConnectTime { least, most, seen: None }
     }
 
     pub(super) fn learn(&mut self, took: Duration) {
--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::frame::{Frame, MAX_FRAME, encode, without};
-use super::silence::DEAD_AFTER;
+use super::liveness::DEAD_AFTER;
 use crate::config::settings::SiteSettings;
 use crate::core::AttemptId;
 use crate::interface::{ServerId, Time};
--- a/src/backend/silence.rs
+++ b/src/backend/liveness.rs
@@ -22,7 +22,7 @@
 impl Backend {
     /// Ends connections that have fallen silent while their servers go on answering on others: what is out on
     /// them will never be answered, and the servers are not to be blamed. Probes go out with the next flush.
-    pub fn end_silent(&mut self, net: &mut Net, now: Time) {
+    pub fn check_liveness(&mut self, net: &mut Net, now: Time) {
         self.now = self.now.max(now);
         let dead = |(key, connection): (&usize, &Connection)| {
             let answered = self.servers.get(&connection.server)?.answered;
@@ -98,8 +98,8 @@
         }
     }
 
-    /// How often to call [`Backend::end_silent`].
-    pub fn silence_check_interval(&self) -> Duration {
+    /// How often to call [`Backend::check_liveness`].
+    pub fn liveness_check_interval(&self) -> Duration {
         self.least_quiet / 2
     }
 }
--- a/src/backend/selection.rs
+++ b/src/backend/selection.rs
@@ -3,7 +3,7 @@
 use super::connection::Connection;
 use super::connection_losses::LOSSES_HALF_LIFE_AIMS;
 use super::frame::Frame;
-use super::silence::DOUBTED;
+use super::liveness::DOUBTED;
 use super::{Backend, ClosedBy};
 use crate::interface::{ServerId, Time};
 use crate::net::{Net, TimerEvent};
--- a/src/backend/tests.rs
+++ b/src/backend/tests.rs
@@ -1,7 +1,7 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-use super::silence::DEAD_AFTER;
+use super::liveness::DEAD_AFTER;
 use super::*;
 use crate::interface::PartId;
 use crate::net::clock::Clock;
@@ -23,10 +23,15 @@
     let server = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let aim = settings.router.shortest_aim();
     let mut backend = Backend::new(Arc::new(settings), 10);
-    backend.open(SERVER, server.local_addr().expect("bound"));
+    backend.enable_server(SERVER, server.local_addr().expect("bound"));
     Bench { backend, net: Net::new(Clock::start()).expect("a poller"), server, aim }
 }
 
+/// The completion of an attempt without a value or a load report.
+fn attempt_completion(attempt: AttemptId, verdict: Verdict) -> Completion {
+    Completion::Attempt { attempt, verdict, value: None, load: LoadReport::default() }
+}
+
 impl Bench {
     fn send(&mut self, part: u64) -> AttemptId {
         self.send_text(part, 0, "t", None)
@@ -65,26 +70,26 @@
             self.net.poll.wait(None, &mut ready).expect("polls");
             for report in ready {
                 let now = self.net.clock.now().max(not_before);
-                self.backend.ready(&mut self.net, now, report.key, report.readable);
+                self.backend.on_ready(&mut self.net, now, report.key, report.readable);
             }
         }
     }
 
     /// Handles what the poller reports until so much has ended.
     fn run(&mut self, ended: usize) -> Vec<(PartId, Verdict)> {
-        while self.backend.done.len() < ended {
+        while self.backend.completions.len() < ended {
             let mut ready = Vec::new();
             self.net.poll.wait(None, &mut ready).expect("polls");
             for report in ready {
                 let now = self.net.clock.now();
-                self.backend.ready(&mut self.net, now, report.key, report.readable);
+                self.backend.on_ready(&mut self.net, now, report.key, report.readable);
             }
         }
         let verdict = |done| match done {
-            Done::Attempt((part, _), verdict, ..) => (part, verdict),
-            Done::Probe(..) => unreachable!("none was sent"),
+            Completion::Attempt { attempt: (part, _), verdict, .. } => (part, verdict),
+            Completion::Probe { .. } => unreachable!("none was sent"),
         };
-        self.backend.done.drain(..).map(verdict).collect()
+        self.backend.completions.drain(..).map(verdict).collect()
     }
 }
 
@@ -92,7 +97,7 @@
 #[test]
 fn a_connection_is_waited_for_as_long_as_others_take_and_no_longer() {
     let [least, most, usual] = [40, 250, 2].map(Duration::from_millis);
-    let mut setup = SetupTime::new(least, most);
+    let mut setup = ConnectTime::new(least, most);
     assert_eq!(setup.limit(), most, "nothing is known yet");
     (0..20).for_each(|_| setup.learn(usual));
     assert_eq!(setup.limit(), least, "all came up at once");
@@ -124,18 +129,18 @@
     let mut bench = bench();
     let attempt = bench.send(1);
     let key = *bench.backend.connections.keys().next().expect("one");
-    bench.backend.connect_time_out(&bench.net, key);
-    bench.backend.give_up(bench.net.clock.now(), attempt, Verdict::NoAnswer);
+    bench.backend.on_connect_timeout(&bench.net, key);
+    bench.backend.cancel(bench.net.clock.now(), attempt, Verdict::NoAnswer);
     assert_eq!(bench.run(1), [(PartId(1), Verdict::NoConnection)]);
 
     let attempt = bench.send(2);
-    bench.backend.give_up(bench.net.clock.now(), attempt, Verdict::Cancelled);
+    bench.backend.cancel(bench.net.clock.now(), attempt, Verdict::Cancelled);
     assert_eq!(bench.run(1), [(PartId(2), Verdict::NotSent)]);
 
     let Bench { server, .. } = std::mem::replace(&mut bench, self::bench());
     let closed = server.local_addr().expect("bound");
     drop(server);
-    bench.backend.open(SERVER, closed);
+    bench.backend.enable_server(SERVER, closed);
     bench.send(3);
     assert_eq!(bench.run(1), [(PartId(3), Verdict::NoConnection)]);
 }
@@ -174,14 +179,14 @@
 
 /// A part is out on a connection that falls silent. Its server answers probes on another one, and on the silent
 /// one if `both`. Gives what ended once the connection had been silent for long.
-fn silent(both: bool) -> Vec<Done> {
+fn silent(both: bool) -> Vec<Completion> {
     let mut bench = bench();
     bench.send(1);
     bench.write_all();
     let (mut first, _) = bench.server.accept().expect("connected");
     let now = bench.net.clock.now();
     let quiet = bench.backend.least_quiet;
-    bench.backend.end_silent(&mut bench.net, now.after(quiet));
+    bench.backend.check_liveness(&mut bench.net, now.after(quiet));
     bench.backend.flush(&mut bench.net, now.after(quiet));
     assert_eq!(bench.backend.connection_count(), 2, "another connection shows whether the server is well");
     let server = bench.server.try_clone().expect("cloned");
@@ -204,30 +209,30 @@
         (first, second)
     });
     let wanted = if both { 2 } else { 1 };
-    while bench.backend.done.len() < wanted {
+    while bench.backend.completions.len() < wanted {
         let mut ready = Vec::new();
         bench.net.poll.wait(None, &mut ready).expect("polls");
         for report in ready {
             let now = bench.net.clock.now();
-            bench.backend.ready(&mut bench.net, now, report.key, report.readable);
+            bench.backend.on_ready(&mut bench.net, now, report.key, report.readable);
         }
     }
     let _open = answers.join().expect("answered");
-    bench.backend.done.clear();
+    bench.backend.completions.clear();
     // Looked at anew it is not probed again, and once it has been silent for long enough it ends.
     for quiets in [2, DEAD_AFTER + 1] {
-        bench.backend.end_silent(&mut bench.net, now.after(quiet * quiets));
+        bench.backend.check_liveness(&mut bench.net, now.after(quiet * quiets));
     }
     let heard = now.after(quiet * (DEAD_AFTER + 2));
     bench.backend.flush(&mut bench.net, heard);
-    bench.backend.done.drain(..).filter(|done| matches!(done, Done::Attempt(..))).collect()
+    bench.backend.completions.drain(..).filter(|done| matches!(done, Completion::Attempt { .. })).collect()
 }
 
 // Guards parts on connections that died without a word: the module took their server for a slow one and sent it
 // nothing more, so nothing showed that it was well, and 4 to 6 parts a connection waited until their time was up.
 #[test]
 fn a_silent_connection_ends_once_its_server_answers_a_probe_on_another_alone() {
-    let lost = Done::Attempt((PartId(1), 0), Verdict::ConnectionLost, None, LoadReport::default());
+    let lost = attempt_completion((PartId(1), 0), Verdict::ConnectionLost);
     assert_eq!(silent(false), [lost]);
     assert_eq!(silent(true), [], "a server that is merely busy answers both");
 }
@@ -238,7 +243,7 @@
     let mut bench = bench();
     bench.send(1);
     bench.send(2);
-    bench.backend.shut(SERVER);
+    bench.backend.disable_server(SERVER);
     bench.send(3);
     let unsent = [1, 2, 3].map(|part| (PartId(part), Verdict::NoConnection));
     assert_eq!(bench.run(3), unsent);
@@ -254,15 +259,15 @@
     let (first, second) = (bench.send(1), bench.send(2));
     bench.write_all();
     let now = bench.net.clock.now();
-    bench.backend.give_up(now, first, Verdict::Cancelled);
+    bench.backend.cancel(now, first, Verdict::Cancelled);
     bench.backend.sweep(&bench.net, now.after(Duration::from_secs(59)));
     bench.send(3);
     assert_eq!(bench.backend.connection_count(), 1);
     bench.backend.sweep(&bench.net, now.after(Duration::from_secs(61)));
     bench.send(4);
     assert_eq!(bench.backend.connection_count(), 2);
-    bench.backend.give_up(now, second, Verdict::Cancelled);
-    bench.backend.give_up(now, (PartId(3), 0), Verdict::Cancelled);
+    bench.backend.cancel(now, second, Verdict::Cancelled);
+    bench.backend.cancel(now, (PartId(3), 0), Verdict::Cancelled);
     bench.backend.flush(&mut bench.net, now);
     bench.backend.sweep(&bench.net, now.after(Duration::from_secs(61)));
     assert_eq!(bench.backend.connection_count(), 1);
@@ -279,7 +284,7 @@
     let mut now = bench.net.clock.now();
     for number in 0..40 {
         let server = ServerId(1000 + number);
-        bench.backend.open(server, address);
+        bench.backend.enable_server(server, address);
         for (part, until) in [(2 * number, longest), (2 * number + 1, longest)] {
             let (query, text) = (format!("q{part}").into(), "t".into());
             let until = now.after(until);
@@ -298,10 +303,10 @@
             bench.backend.send(&mut bench.net, now, send);
         }
         bench.write_all();
-        bench.backend.shut(server);
-        bench.backend.give_up(now, (PartId(2 * number), 0), Verdict::Cancelled);
+        bench.backend.disable_server(server);
+        bench.backend.cancel(now, (PartId(2 * number), 0), Verdict::Cancelled);
         now = now.after(longest + GIVE_UP_READ_WITHIN);
-        bench.backend.give_up(now, (PartId(2 * number + 1), 0), Verdict::NoAnswer);
+        bench.backend.cancel(now, (PartId(2 * number + 1), 0), Verdict::NoAnswer);
         bench.backend.flush(&mut bench.net, now);
         now = now.after(GIVE_UP_READ_WITHIN * 2);
         bench.backend.flush(&mut bench.net, now);
@@ -311,7 +316,7 @@
             [kept.servers.len(), kept.connections.len(), kept.attempts.len(), kept.held_outcomes.len()];
         // The one server that `bench` lists, with none of the rest.
         assert_eq!(tables, [1, 0, 0, 0], "servers, connections, attempts, held outcomes");
-        assert_eq!(bench.backend.done.drain(..).count(), 2, "each part has its outcome");
+        assert_eq!(bench.backend.completions.drain(..).count(), 2, "each part has its outcome");
     }
 }
 
@@ -324,9 +329,9 @@
     let (mut stream, _) = bench.server.accept().expect("the connection comes");
     bench.write_all();
     let now = bench.net.clock.now();
-    bench.backend.give_up(now, first, Verdict::Cancelled);
+    bench.backend.cancel(now, first, Verdict::Cancelled);
     bench.backend.flush(&mut bench.net, now);
-    assert!(bench.backend.done.is_empty(), "told before the word could be read");
+    assert!(bench.backend.completions.is_empty(), "told before the word could be read");
     let mut read = Vec::new();
     while !read.ends_with(b"cq1.0") {
         let mut bytes = [0; 256];
@@ -335,7 +340,7 @@
         read.extend_from_slice(&bytes[..count]);
     }
     bench.backend.flush(&mut bench.net, now.after(GIVE_UP_READ_WITHIN / 2));
-    assert!(bench.backend.done.is_empty(), "told within the slack");
+    assert!(bench.backend.completions.is_empty(), "told within the slack");
     let written_by = bench.net.clock.now();
     bench.backend.flush(&mut bench.net, written_by.after(GIVE_UP_READ_WITHIN));
     assert_eq!(bench.run(1), [(PartId(1), Verdict::Cancelled)]);
@@ -345,7 +350,7 @@
     bench.backend.drop_connection(&bench.net, key, ClosedBy::Broker);
     let closed_by = bench.net.clock.now().max(before);
     bench.backend.flush(&mut bench.net, before.after(GIVE_UP_READ_WITHIN / 2));
-    assert!(bench.backend.done.is_empty(), "told before the close could be read");
+    assert!(bench.backend.completions.is_empty(), "told before the close could be read");
     bench.backend.flush(&mut bench.net, closed_by.after(GIVE_UP_READ_WITHIN));
     assert_eq!(bench.run(1), [(PartId(2), Verdict::ConnectionLost)]);
     let _ = second;
@@ -365,12 +370,12 @@
     bench.write_all();
     let not_written_before = bench.net.clock.now();
     let old = not_written_before.before(HELD_UP);
-    bench.backend.give_up(old, first, Verdict::Cancelled);
+    bench.backend.cancel(old, first, Verdict::Cancelled);
     bench.backend.flush(&mut bench.net, old);
     bench
         .backend
         .flush(&mut bench.net, not_written_before.after(GIVE_UP_READ_WITHIN - Duration::from_nanos(1)));
-    assert!(bench.backend.done.is_empty(), "told before the server had its time");
+    assert!(bench.backend.completions.is_empty(), "told before the server had its time");
     let written_by = bench.net.clock.now();
     bench.backend.flush(&mut bench.net, written_by.after(GIVE_UP_READ_WITHIN));
     assert_eq!(bench.run(1), [(PartId(1), Verdict::Cancelled)]);
@@ -389,12 +394,12 @@
     let not_closed_before = bench.net.clock.now();
     let old = not_closed_before.before(HELD_UP);
     bench.backend.now = old;
-    bench.backend.give_up(old, first, Verdict::Cancelled);
+    bench.backend.cancel(old, first, Verdict::Cancelled);
     bench.backend.drop_connection(&bench.net, key, ClosedBy::Broker);
     bench
         .backend
         .flush(&mut bench.net, not_closed_before.after(GIVE_UP_READ_WITHIN - Duration::from_nanos(1)));
-    assert!(bench.backend.done.is_empty(), "told before the server had its time");
+    assert!(bench.backend.completions.is_empty(), "told before the server had its time");
     let closed_by = bench.net.clock.now();
     bench.backend.flush(&mut bench.net, closed_by.after(GIVE_UP_READ_WITHIN));
     let mut ended = bench.run(2);
@@ -429,8 +434,8 @@
     bench.backend.send(&mut bench.net, old, repeat);
     bench.backend.flush(&mut bench.net, old);
     bench.write_all();
-    let not_sent = Done::Attempt(attempt, Verdict::NotSent, None, LoadReport::default());
-    assert_eq!(bench.backend.done, [not_sent]);
+    let not_sent = attempt_completion(attempt, Verdict::NotSent);
+    assert_eq!(bench.backend.completions, [not_sent]);
 }
 
 // Guards the decisions against figures that no server can mean.
@@ -513,7 +518,7 @@
     bench.send_text(3, 0, "z", None);
     let taken_back = bench.send_text(4, 0, "z", None);
     bench.backend.flush(&mut bench.net, queued);
-    bench.backend.take_back(queued, taken_back);
+    bench.backend.withdraw(queued, taken_back);
     assert_eq!(bench.run(1), [(PartId(4), Verdict::NotSent)]);
     let reader = std::thread::spawn(move || read_until(&mut stream, " 1\nz"));
     let later = queued.after(Duration::from_secs(2));
@@ -538,17 +543,17 @@
     bench.write_all_at(queued.after(Duration::from_secs(2)));
     let last = reader.join().expect("read");
     assert!(!last.contains("q3.0"), "{last}");
-    let not_sent = Done::Attempt((PartId(3), 1), Verdict::NotSent, None, LoadReport::default());
-    assert_eq!(bench.backend.done, [not_sent]);
+    let not_sent = attempt_completion((PartId(3), 1), Verdict::NotSent);
+    assert_eq!(bench.backend.completions, [not_sent]);
 }
 
 /// Attempts that have ended, without probes.
 fn attempts_done(bench: &Bench) -> Vec<(PartId, Verdict)> {
-    let attempt = |done: &Done| match done {
-        Done::Attempt((part, _), verdict, ..) => Some((*part, *verdict)),
-        Done::Probe(..) => None,
+    let attempt = |done: &Completion| match done {
+        Completion::Attempt { attempt: (part, _), verdict, .. } => Some((*part, *verdict)),
+        Completion::Probe { .. } => None,
     };
-    bench.backend.done.iter().filter_map(attempt).collect()
+    bench.backend.completions.iter().filter_map(attempt).collect()
 }
 
 // What was seen: a part whose frame was begun, and of which its server read nothing more, waited until its query ended, and so
@@ -560,10 +565,10 @@
     let stream = blocked_connection(&mut bench);
     let blocked = bench.net.clock.now();
     let limit = bench.aim / QUIET_PART * DEAD_AFTER;
-    bench.backend.end_silent(&mut bench.net, blocked.after(limit / 2));
+    bench.backend.check_liveness(&mut bench.net, blocked.after(limit / 2));
     bench.backend.flush(&mut bench.net, blocked);
     assert_eq!(attempts_done(&bench), [], "its server may still read on");
-    bench.backend.end_silent(&mut bench.net, blocked.after(limit));
+    bench.backend.check_liveness(&mut bench.net, blocked.after(limit));
     assert_eq!(attempts_done(&bench), [(PartId(2), Verdict::NoConnection)]);
     drop(stream);
 }
@@ -585,10 +590,10 @@
             assert!(stream.read(&mut piece).expect("more comes") > 0, "the connection stays");
             // A probe may have opened another connection beside it.
             for key in bench.backend.connections.keys().copied().collect::<Vec<_>>() {
-                bench.backend.ready(&mut bench.net, now, key, false);
+                bench.backend.on_ready(&mut bench.net, now, key, false);
             }
         }
-        bench.backend.end_silent(&mut bench.net, now.after(limit / 2));
+        bench.backend.check_liveness(&mut bench.net, now.after(limit / 2));
         assert_eq!(attempts_done(&bench), []);
     }
 }
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -20,7 +20,7 @@
 use self::discovery::take_list;
 use self::signals::SignalFlags;
 use self::upgrade::{newer_list, open_store};
-use crate::backend::{Backend, Done, Flushed};
+use crate::backend::{Backend, Completion, FlushStatus};
 use crate::config::Config;
 use crate::config::settings::SiteSettings;
 use crate::control::{Endpoint, EndpointConfig, Operations, Statistics};
@@ -365,7 +365,7 @@
             }
             TO_SUCCESSOR => self.successor_ready(now),
             TO_PREDECESSOR => self.predecessor_ready(now),
-            _ if self.backend.ready(&mut self.net, now, key, readable) => {}
+            _ if self.backend.on_ready(&mut self.net, now, key, readable) => {}
             _ => {
                 if let Some(client) = self.clients.get_mut(&key) {
                     client.write_interest = None;
@@ -383,12 +383,12 @@
                     self.carry_out(now, command);
                 }
             }
-            TimerEvent::AttemptTimeout(attempt) => self.backend.give_up(now, attempt, Verdict::NoAnswer),
-            TimerEvent::StartBefore(attempt) => self.backend.take_back(now, attempt),
-            TimerEvent::ConnectTimeout(key) => self.backend.connect_time_out(&self.net, key),
-            TimerEvent::ResponseStalled(key) => self.backend.stalled(&self.net, now, key),
+            TimerEvent::AttemptTimeout(attempt) => self.backend.cancel(now, attempt, Verdict::NoAnswer),
+            TimerEvent::StartBefore(attempt) => self.backend.withdraw(now, attempt),
+            TimerEvent::ConnectTimeout(key) => self.backend.on_connect_timeout(&self.net, key),
+            TimerEvent::ResponseStalled(key) => self.backend.on_response_stalled(&self.net, now, key),
             TimerEvent::DrainGraceExpired(server) if self.core.is_draining(server) => {
-                self.backend.shut(server)
+                self.backend.disable_server(server)
             }
             TimerEvent::DrainGraceExpired(_) => {}
             TimerEvent::DiscoveryWatch if now < self.watch_at => {}
@@ -396,8 +396,8 @@
             TimerEvent::SilenceCheck => {
                 self.net
                     .timers
-                    .arm(now.after(self.backend.silence_check_interval()), TimerEvent::SilenceCheck);
-                self.backend.end_silent(&mut self.net, now);
+                    .arm(now.after(self.backend.liveness_check_interval()), TimerEvent::SilenceCheck);
+                self.backend.check_liveness(&mut self.net, now);
             }
             TimerEvent::IdleSweep => self.sweep(now),
             // The outcomes come with the gather that follows.
@@ -412,18 +412,22 @@
 
     /// Writes what is queued for the servers, and hands what ended at them to the core.
     fn gather(&mut self, now: Time) {
-        let (mut now, mut flushed) = (now, Flushed::HeldUp);
-        while flushed == Flushed::HeldUp {
+        let (mut now, mut flushed) = (now, FlushStatus::Yielded);
+        while flushed == FlushStatus::Yielded {
             now = self.look_again(now);
             for command in self.core.withdraw_ended() {
                 self.carry_out(now, command);
             }
             flushed = self.backend.flush(&mut self.net, now);
         }
-        for done in self.backend.done.drain(..) {
+        for done in self.backend.completions.drain(..) {
             match done {
-                Done::Attempt(id, verdict, value, load) => self.core.outcome(now, id, verdict, value, load),
-                Done::Probe(server, verdict, took, load) => self.core.probed(server, verdict, took, load),
+                Completion::Attempt { attempt, verdict, value, load } => {
+                    self.core.outcome(now, attempt, verdict, value, load)
+                }
+                Completion::Probe { server, verdict, round_trip, load } => {
+                    self.core.probed(server, verdict, round_trip, load)
+                }
             }
         }
     }
@@ -478,8 +482,8 @@
                 }
                 self.backend.send(&mut self.net, now, send);
             }
-            Command::Cancel(attempt) => self.backend.give_up(now, attempt, Verdict::Cancelled),
-            Command::Withdraw(attempt) => self.backend.take_back(now, attempt),
+            Command::Cancel(attempt) => self.backend.cancel(now, attempt, Verdict::Cancelled),
+            Command::Withdraw(attempt) => self.backend.withdraw(now, attempt),
             Command::CloseIdle(server) => self.backend.close_idle(&self.net, server),
             Command::Probe(server) => self.backend.probe(&mut self.net, now, server),
             Command::Finish(ticket, last) => self.finish(now, ticket, last),
--- a/src/broker/discovery.rs
+++ b/src/broker/discovery.rs
@@ -103,13 +103,13 @@
 pub(super) fn take_list(core: &mut Core, backend: &mut Backend, list: &Listing, until: Option<Time>) {
     let members: Vec<_> = list.members.iter().map(|(member, _)| member.clone()).collect();
     for server in core.apply_server_list(list.whole, list.index, &members, until) {
-        backend.shut(server);
+        backend.disable_server(server);
     }
     let (up, draining) = core.server_counts();
     tracing::info!("servers: version {}, {up} up, {draining} draining", list.index);
     for (member, address) in &list.members {
         if let (ServerState::Up, Some(address)) = (member.state, address) {
-            backend.open(core.server_id(&member.name), *address);
+            backend.enable_server(core.server_id(&member.name), *address);
         }
     }
 }
