--- a/src/backend.rs
+++ b/src/backend.rs
@@ -1,4 +1,4 @@
-//! Tile servers: attempts at them, over the few connections that carry their frames.
+//! Connections to tile servers, and the attempts and probes that they carry.
 
 mod cancel;
 mod connect_time;
@@ -13,12 +13,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use self::cancel::{GIVE_UP_READ_WITHIN, HeldOutcome};
+use self::cancel::{CANCEL_READ_ALLOWANCE, WithheldOutcome};
 use self::connect_time::ConnectTime;
-use self::connection::{CarriedPart, Connection};
+use self::connection::{Connection, PartState};
 use self::connection_losses::ConnectionLosses;
-use self::frame::{Frame, read_answer, read_report};
-use self::liveness::QUIET_PART;
+use self::frame::{Frame, decode_response, parse_load_report};
+use self::liveness::{ProbeCounts, SILENCE_LIMIT_AIM_DIVISOR};
 use crate::config::settings::SiteSettings;
 use crate::core::{AttemptId, SendAttempt};
 use crate::interface::{LoadReport, RetrySafety, ServerId, Time, Verdict};
@@ -51,22 +51,22 @@
     },
 }
 
-/// How far a call of [`Backend::flush`] came.
+/// Result of a call of [`Backend::flush`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlushStatus {
-    /// All was written that the sockets take.
+    /// Everything that the sockets accept is written.
     Complete,
-    /// A write took long, and others wait.
+    /// A write took long, and other connections are still to be written.
     Yielded,
 }
 
 struct Server {
     address: SocketAddr,
     /// Whether it may be sent anything new.
-    open: bool,
+    enabled: bool,
     connections: Vec<usize>,
-    /// When the youngest part that it has answered was written.
-    answered: Time,
+    /// When the latest of the parts that it has answered was written, or of the probes was queued.
+    last_answered_written: Time,
     losses: ConnectionLosses,
 }
 
@@ -75,92 +75,98 @@
 enum ClosedBy {
     /// This broker.
     Broker,
-    /// Its server or the network: it was reset or closed, or could not be written.
+    /// The server or the network: the connection was reset or closed, or could not be written.
     Peer,
 }
 
+/// A part that may have run and whose connection ended.
+struct ClosedPart {
+    closed_at: Time,
+    /// Whether it was cancelled before.
+    was_cancelled: bool,
+    closed_by: ClosedBy,
+}
+
 /// All connections to tile servers.
 pub struct Backend {
     settings: Arc<SiteSettings>,
-    most: usize,
-    /// No connection is in doubt that has said something so short a time ago, whatever class waits on it.
-    least_quiet: Duration,
+    max_connections: usize,
+    /// The shortest silence limit of any class: a connection with a shorter silence is not suspect.
+    min_silence_limit: Duration,
     servers: HashMap<ServerId, Server>,
     connections: HashMap<usize, Connection>,
-    /// Which connection answers for an attempt.
+    /// The connection that carries each attempt.
     attempts: HashMap<AttemptId, usize>,
+    /// Connections with something queued since the last flush.
     unflushed: Vec<usize>,
     step: u64,
-    /// How long connections take to come up.
-    setup: ConnectTime,
-    /// Connections that were probed for their silence, and those of them that were dead; both are halved now and then.
-    probed: [f64; 2],
-    /// Attempts whose last byte was written since this was last taken.
+    connect_time: ConnectTime,
+    probe_counts: ProbeCounts,
+    /// Attempts written completely since this was last taken.
     relayed: u64,
-    /// What has ended and has not been taken yet.
+    /// Results that have not been collected yet.
     pub completions: Vec<Completion>,
-    /// The time of the latest call that told it.
+    /// The latest time passed to any call.
     now: Time,
-    /// Outcomes of attempts that were given up, until their servers have heard so.
-    held_outcomes: Vec<HeldOutcome>,
-    /// When the wheel brings the next look at them.
-    held_outcomes_due: Option<Time>,
-    /// Parts that may have run, by their id on the wire, whose connection ended: when, whether they had
-    /// been given up before, and who ended it. Kept for the longest deadline, and only while debug lines
-    /// are written: the probe of the rule on second copies reads it.
-    closed: HashMap<String, (Time, bool, ClosedBy)>,
+    /// Outcomes of cancelled attempts whose servers have not had time to read the cancellation.
+    withheld_outcomes: Vec<WithheldOutcome>,
+    /// When the timer that releases withheld outcomes is due.
+    withheld_timer: Option<Time>,
+    /// Parts that may have run, by their id on the wire, whose connection ended. Kept for the longest
+    /// deadline, and only while debug logging is on, for the log line about resent parts.
+    closed_parts: HashMap<String, ClosedPart>,
 }
 
 impl Backend {
-    /// No connections yet, and `most` of them at any time.
-    pub fn new(settings: Arc<SiteSettings>, most: usize) -> Self {
+    /// Creates the state without connections; there are at most `max_connections` at any time.
+    pub fn new(settings: Arc<SiteSettings>, max_connections: usize) -> Self {
         let aim = settings.router.shortest_aim();
         Backend {
-            least_quiet: aim / QUIET_PART,
-            setup: ConnectTime::for_aim(aim, settings.connect_timeout),
+            min_silence_limit: aim / SILENCE_LIMIT_AIM_DIVISOR,
+            connect_time: ConnectTime::for_aim(aim, settings.connect_timeout),
             settings,
-            most,
+            max_connections,
             servers: HashMap::new(),
             connections: HashMap::new(),
             attempts: HashMap::new(),
             unflushed: Vec::new(),
             step: 0,
-            probed: [0.0; 2],
+            probe_counts: ProbeCounts::default(),
             relayed: 0,
             completions: Vec::new(),
             now: Time(0),
-            held_outcomes: Vec::new(),
-            held_outcomes_due: None,
-            closed: HashMap::new(),
+            withheld_outcomes: Vec::new(),
+            withheld_timer: None,
+            closed_parts: HashMap::new(),
         }
     }
 
-    /// A server may be sent to at this address; connections to an older one get nothing new.
+    /// Allows sending to a server at this address; connections to a previous address carry nothing new.
     pub fn enable_server(&mut self, server: ServerId, address: SocketAddr) {
-        let known = self.servers.entry(server).or_insert_with(|| Server {
+        let state = self.servers.entry(server).or_insert_with(|| Server {
             address,
-            open: true,
+            enabled: true,
             connections: Vec::new(),
-            answered: Time(0),
+            last_answered_written: Time(0),
             losses: ConnectionLosses::default(),
         });
-        (known.address, known.open) = (address, true);
+        (state.address, state.enabled) = (address, true);
     }
 
-    /// A server may be sent nothing new: what is queued and not begun comes back unsent. A send counts
-    /// from its first byte, so a frame that was begun is finished.
+    /// Stops sending anything new to a server: queued attempts of which nothing is written complete as never
+    /// sent. An attempt counts as sent from its first byte, so a partially written frame is finished.
     pub fn disable_server(&mut self, server: ServerId) {
         let Some(state) = self.servers.get_mut(&server) else { return };
-        state.open = false;
+        state.enabled = false;
         for key in state.connections.clone() {
             let Some(connection) = self.connections.get_mut(&key) else { continue };
-            connection.unencode();
-            for frame in std::mem::take(&mut connection.waiting) {
+            connection.requeue_unwritten();
+            for frame in std::mem::take(&mut connection.queued) {
                 match frame {
                     Frame::Query(parts) => {
-                        for (name, send) in parts {
-                            connection.parts.remove(&name);
-                            finish(
+                        for (wire_id, send) in parts {
+                            connection.parts.remove(&wire_id);
+                            complete(
                                 &mut self.attempts,
                                 &mut self.completions,
                                 send.attempt,
@@ -169,23 +175,23 @@
                         }
                     }
                     Frame::Probe => drop(connection.probes.pop_back()),
-                    // Word that a part is given up is nothing new, and still of use.
-                    Frame::Cancel(name) => connection.waiting.push_back(Frame::Cancel(name)),
+                    // A cancellation is not new work, and still useful.
+                    Frame::Cancel(wire_id) => connection.queued.push_back(Frame::Cancel(wire_id)),
                 }
             }
         }
     }
 
-    /// How many attempts were written whole since this was last asked.
+    /// Returns the number of attempts written completely since the last call.
     pub fn take_relayed(&mut self) -> u64 {
         std::mem::take(&mut self.relayed)
     }
 
-    /// Queues an attempt; it is written by [`Backend::flush`].
+    /// Queues an attempt; [`Backend::flush`] writes it.
     pub fn send(&mut self, net: &mut Net, now: Time, send: SendAttempt) {
         self.now = self.now.max(now);
-        let name = format!("{}.{}", send.query, send.shard);
-        let Some(key) = self.connection_for(net, now, send.server, &name) else {
+        let wire_id = format!("{}.{}", send.query, send.shard);
+        let Some(key) = self.connection_for(net, now, send.server, &wire_id) else {
             self.completions.push(Completion::Attempt {
                 attempt: send.attempt,
                 verdict: Verdict::NoConnection,
@@ -194,24 +200,29 @@
             });
             return;
         };
-        let (attempt, quiet, step) = (send.attempt, send.aim / QUIET_PART, self.step);
+        let (attempt, silence_limit, step) = (send.attempt, send.aim / SILENCE_LIMIT_AIM_DIVISOR, self.step);
         if attempt.1 > 0 && tracing::enabled!(tracing::Level::DEBUG) {
-            self.log_repeat(now, &name, key);
+            self.log_resend(now, &wire_id, key);
         }
         let Some(connection) = self.connections.get_mut(&key) else { return };
-        connection
-            .parts
-            .insert(name.clone(), CarriedPart { attempt, quiet, written: None, abandoned: None, told: None });
+        let part = PartState {
+            attempt,
+            silence_limit,
+            written_at: None,
+            cancelled_at: None,
+            cancel_written_at: None,
+        };
+        connection.parts.insert(wire_id.clone(), part);
         self.attempts.insert(attempt, key);
         let batch = self.settings.router.batch as usize;
-        match connection.waiting.back_mut() {
+        match connection.queued.back_mut() {
             Some(Frame::Query(parts)) if connection.step == step && parts.len() < batch => {
-                parts.push((name, send))
+                parts.push((wire_id, send))
             }
             _ => {
-                connection.waiting.push_back(Frame::Query(vec![(name, send)]));
+                connection.queued.push_back(Frame::Query(vec![(wire_id, send)]));
                 if let Some(server) = self.servers.get_mut(&connection.server) {
-                    server.losses.calls += 1.0;
+                    server.losses.requests += 1.0;
                 }
             }
         }
@@ -219,42 +230,44 @@
         self.unflushed.push(key);
     }
 
-    /// Logs a part that goes out again while word that an earlier attempt of it was given up may not have
-    /// reached its server: that word waits to be written, waits behind a full connection, or was written a
-    /// moment ago on another connection. A probe of the rule on second copies; it decides nothing.
-    fn log_repeat(&mut self, now: Time, name: &str, key: usize) {
+    /// Logs a part that is resent although its server may not have read the cancellation of an earlier
+    /// attempt: the cancellation is queued, is held up by a full socket, or was written a moment ago on
+    /// another connection. For diagnosing two attempts in flight at once; it has no effect on what is sent.
+    fn log_resend(&mut self, now: Time, wire_id: &str, key: usize) {
         for (other, connection) in &self.connections {
-            let Some(part) = connection.parts.get(name).filter(|_| *other != key) else { continue };
-            let Some(abandoned) = part.abandoned.filter(|_| part.written.is_some()) else { continue };
-            let told_ms = part.told.map(|told| now.since(told).as_secs_f64() * 1e3);
-            let waiting = connection.outbox.len() + connection.waiting.len();
+            let Some(part) = connection.parts.get(wire_id).filter(|_| *other != key) else { continue };
+            let Some(cancelled_at) = part.cancelled_at.filter(|_| part.written_at.is_some()) else {
+                continue;
+            };
+            let cancel_age_ms = part.cancel_written_at.map(|written| now.since(written).as_secs_f64() * 1e3);
+            let queued = connection.outbox.len() + connection.queued.len();
             tracing::debug!(
-                "again: {name} goes out again {:.3} ms after it was given up; word of that written {}, \
-                 {waiting} frames wait on its connection, {} parts are on it",
-                now.since(abandoned).as_secs_f64() * 1e3,
-                told_ms.map_or("not yet".to_string(), |ms| format!("{ms:.3} ms ago")),
+                "resend: {wire_id} is sent again {:.3} ms after it was cancelled; cancellation written {}, \
+                 {queued} frames queued and {} parts in flight on its connection",
+                now.since(cancelled_at).as_secs_f64() * 1e3,
+                cancel_age_ms.map_or("not yet".to_string(), |ms| format!("{ms:.3} ms ago")),
                 connection.parts.len(),
             );
         }
-        if let Some((at, abandoned, ended)) = self.closed.remove(name) {
+        if let Some(ClosedPart { closed_at, was_cancelled, closed_by }) = self.closed_parts.remove(wire_id) {
             tracing::debug!(
-                "again: {name} goes out again {:.3} ms after its connection was ended {}{}",
-                now.since(at).as_secs_f64() * 1e3,
-                match ended {
-                    ClosedBy::Broker => "here",
+                "resend: {wire_id} is sent again {:.3} ms after its connection was closed {}{}",
+                now.since(closed_at).as_secs_f64() * 1e3,
+                match closed_by {
+                    ClosedBy::Broker => "by this broker",
                     ClosedBy::Peer => "by its server or the network",
                 },
-                if abandoned { ", given up before" } else { "" },
+                if was_cancelled { ", cancelled before" } else { "" },
             );
         }
     }
 
-    /// Sends a probe; its result comes like any other.
+    /// Queues a probe; its result is added to [`Backend::completions`].
     pub fn probe(&mut self, net: &mut Net, now: Time, server: ServerId) {
         match self.connection_for(net, now, server, "") {
             Some(key) => {
                 if let Some(connection) = self.connections.get_mut(&key) {
-                    connection.waiting.push_back(Frame::Probe);
+                    connection.queued.push_back(Frame::Probe);
                     connection.probes.push_back(now);
                 }
                 self.unflushed.push(key);
@@ -275,19 +288,20 @@
         let connections = self.servers.get(&server).map(|s| s.connections.clone()).unwrap_or_default();
         for key in connections {
             if self.connections.get(&key).is_some_and(Connection::is_idle) {
-                self.drop_connection(net, key, ClosedBy::Broker);
+                self.close_connection(net, key, ClosedBy::Broker);
             }
         }
     }
 
-    /// Writes what was queued; the step's frames are complete with this. Where a write has taken long, what is left is
-    /// written by the next call: a client may have gone meanwhile, or a server have begun to drain.
+    /// Writes what is queued, and ends the step: later sends start new frames. After a write that took long,
+    /// the rest is left to the next call, as a client may have disconnected or a server started to drain in
+    /// the meantime.
     pub fn flush(&mut self, net: &mut Net, now: Time) -> FlushStatus {
         self.now = self.now.max(now);
         self.step += 1;
         let mut unflushed = std::mem::take(&mut self.unflushed).into_iter();
-        let mut flushed = FlushStatus::Complete;
-        while flushed == FlushStatus::Complete
+        let mut status = FlushStatus::Complete;
+        while status == FlushStatus::Complete
             && let Some(key) = unflushed.next()
         {
             let Some(connection) = self.connections.get_mut(&key).filter(|connection| connection.connected)
@@ -296,174 +310,185 @@
             };
             let result = connection.write(now, &net.clock, &self.settings);
             self.relayed += std::mem::take(&mut connection.relayed);
-            self.finish_late(key);
+            self.complete_expired(key);
             match result {
-                Ok(()) => self.ask(net, key, false),
-                Err(_) => self.drop_connection(net, key, ClosedBy::Peer),
+                Ok(()) => self.rearm(net, key, false),
+                Err(_) => self.close_connection(net, key, ClosedBy::Peer),
             }
             if unflushed.len() > 0 && net.clock.is_stale(now) {
-                flushed = FlushStatus::Yielded;
+                status = FlushStatus::Yielded;
             }
         }
         self.unflushed.extend(unflushed);
-        self.release(net, now);
-        flushed
+        self.release_withheld(net, now);
+        status
     }
 
-    /// Attempts that were left out of what was written, as they may not begin any more.
-    fn finish_late(&mut self, key: usize) {
+    /// Completes attempts that were not written because their latest start had passed.
+    fn complete_expired(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
-        for attempt in std::mem::take(&mut connection.late) {
-            finish(&mut self.attempts, &mut self.completions, attempt, Verdict::NotSent);
+        for attempt in std::mem::take(&mut connection.expired) {
+            complete(&mut self.attempts, &mut self.completions, attempt, Verdict::NotSent);
         }
     }
 
-    /// Does what a connection is ready for. Gives whether the key is one of a connection here.
+    /// Handles a readiness report of the poller. Returns whether `key` is a connection of the backend.
     pub fn on_ready(&mut self, net: &mut Net, now: Time, key: usize, readable: bool) -> bool {
         self.now = self.now.max(now);
         let Some(connection) = self.connections.get_mut(&key) else { return false };
         let mut result = Ok(());
         if !connection.connected {
-            result = crate::net::is_connected(&connection.stream).map(|up| connection.connected = up);
+            result = crate::net::is_connected(&connection.stream)
+                .map(|connected| connection.connected = connected);
             if connection.connected {
-                self.setup.learn(now.since(connection.last_used));
+                self.connect_time.record(now.since(connection.last_used));
             }
             connection.last_used = now;
         }
         if result.is_ok() && connection.connected {
             result = connection.write(now, &net.clock, &self.settings);
             self.relayed += std::mem::take(&mut connection.relayed);
-            // What came before the end counts, so reading goes on where writing failed.
+            // Responses received before the end are valid, so they are read even if writing failed.
             if readable || result.is_err() {
                 result = result.and(connection.read(now));
             }
         }
-        self.finish_late(key);
+        self.complete_expired(key);
         let Some(connection) = self.connections.get_mut(&key) else { return true };
-        let (server, begun) = (connection.server, connection.begun);
-        let (frames, mut sound) = connection.frames();
-        connection.begun = if connection.bytes.is_empty() {
+        let (server, partial_before) = (connection.server, connection.partial_since);
+        let (frames, mut valid) = connection.take_frames();
+        connection.partial_since = if connection.received.is_empty() {
             None
         } else {
-            begun.filter(|_| frames.is_empty()).or(Some(now))
+            partial_before.filter(|_| frames.is_empty()).or(Some(now))
         };
-        if connection.begun.is_some() && connection.begun != begun {
-            net.timers.arm(now.after(self.stall()), TimerEvent::ResponseStalled(key));
+        if connection.partial_since.is_some() && connection.partial_since != partial_before {
+            net.timers.arm(now.after(self.response_stall_timeout()), TimerEvent::ResponseStalled(key));
         }
-        // What came whole before the fault counts; behind it nothing can be told apart any more.
+        // Complete frames before the malformed one are valid; after it, frame boundaries are unknown.
         for frame in &frames {
-            if !self.answer(now, key, server, frame) {
-                sound = false;
+            if !self.handle_frame(now, key, server, frame) {
+                valid = false;
                 break;
             }
         }
-        if !sound {
-            tracing::warn!("an answer could not be read: its connection ends");
+        if !valid {
+            tracing::warn!("closing a connection to a tile server: malformed response");
         }
-        match (result, sound) {
-            (Ok(()), true) => self.ask(net, key, true),
-            (Err(_), _) => self.drop_connection(net, key, ClosedBy::Peer),
-            (Ok(()), false) => self.drop_connection(net, key, ClosedBy::Broker),
+        match (result, valid) {
+            (Ok(()), true) => self.rearm(net, key, true),
+            (Err(_), _) => self.close_connection(net, key, ClosedBy::Peer),
+            (Ok(()), false) => self.close_connection(net, key, ClosedBy::Broker),
         }
         true
     }
 
-    /// How long a frame that was begun may take to be whole.
-    fn stall(&self) -> Duration {
-        self.settings.connect_timeout.min(self.least_quiet * 2)
+    /// How long a frame may stay partially received.
+    fn response_stall_timeout(&self) -> Duration {
+        self.settings.connect_timeout.min(self.min_silence_limit * 2)
     }
 
-    /// A frame that was begun should be whole by now: a server writes each at once, so one that stays
-    /// unfinished has a length that does not fit, and would swallow all answers behind it.
+    /// Closes a connection whose frame has stayed partially received for too long. A server writes each frame
+    /// at once, so the length of an unfinished one is wrong, and all following responses would be taken for
+    /// its content.
     pub fn on_response_stalled(&mut self, net: &Net, now: Time, key: usize) {
         self.now = self.now.max(now);
-        let limit = now.before(self.stall());
-        let begun = self.connections.get(&key).and_then(|connection| connection.begun);
-        if begun.is_some_and(|begun| begun <= limit) {
-            tracing::warn!("an answer did not end: its connection ends");
-            self.drop_connection(net, key, ClosedBy::Broker);
+        let limit = now.before(self.response_stall_timeout());
+        let partial_since = self.connections.get(&key).and_then(|connection| connection.partial_since);
+        if partial_since.is_some_and(|since| since <= limit) {
+            tracing::warn!("closing a connection to a tile server: response not completed in time");
+            self.close_connection(net, key, ClosedBy::Broker);
         }
     }
 
-    /// The time for a connection to come up is over.
+    /// Closes a connection if it is not established yet.
     pub fn on_connect_timeout(&mut self, net: &Net, key: usize) {
         if self.connections.get(&key).is_some_and(|connection| !connection.connected) {
-            self.drop_connection(net, key, ClosedBy::Broker);
+            self.close_connection(net, key, ClosedBy::Broker);
         }
     }
 
-    /// Closes connections that stood idle for long, or that lead to an address of old.
+    /// Closes idle connections that have been unused for long, lead to an outdated address or a disabled
+    /// server, or are retired; removes state that is no longer needed.
     pub fn sweep(&mut self, net: &Net, now: Time) {
         self.now = self.now.max(now);
-        // What a server has swallowed would else count against the connection's streams for good.
+        // Cancelled parts that the server never answers would otherwise use up the connection's streams for
+        // good.
         let long_ago =
             now.before(self.settings.router.classes.iter().map(|c| c.deadline).max().unwrap_or_default());
         for connection in self.connections.values_mut() {
             connection.retired |=
-                connection.parts.values().any(|p| p.abandoned.is_some_and(|at| at < long_ago));
+                connection.parts.values().any(|p| p.cancelled_at.is_some_and(|at| at < long_ago));
         }
-        let stale = |(key, connection): (&usize, &Connection)| {
-            let gone = connection.retired
+        let to_close = |(key, connection): (&usize, &Connection)| {
+            let is_obsolete = connection.retired
                 || self
                     .servers
                     .get(&connection.server)
-                    .is_none_or(|s| !s.open || s.address != connection.address);
-            (connection.is_idle() && (gone || self.is_stale(connection, now))).then_some(*key)
+                    .is_none_or(|s| !s.enabled || s.address != connection.address);
+            (connection.is_idle() && (is_obsolete || self.is_stale(connection, now))).then_some(*key)
         };
-        for key in self.connections.iter().filter_map(stale).collect::<Vec<_>>() {
-            self.drop_connection(net, key, ClosedBy::Broker);
+        for key in self.connections.iter().filter_map(to_close).collect::<Vec<_>>() {
+            self.close_connection(net, key, ClosedBy::Broker);
         }
-        self.servers.retain(|_, server| server.open || !server.connections.is_empty());
-        self.closed.retain(|_, (at, _, _)| *at >= long_ago);
+        self.servers.retain(|_, server| server.enabled || !server.connections.is_empty());
+        self.closed_parts.retain(|_, part| part.closed_at >= long_ago);
     }
 
-    /// Asks the poller for what a connection waits for.
-    fn ask(&mut self, net: &Net, key: usize, reported: bool) {
+    /// Updates a connection's registration with the poller, if it changed or the poller has just `reported`
+    /// it.
+    fn rearm(&mut self, net: &Net, key: usize, reported: bool) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         let write = connection.wants_write();
-        if reported || write != connection.asked_write {
-            connection.asked_write = write;
+        if reported || write != connection.write_interest {
+            connection.write_interest = write;
             if net.poll.rearm(&connection.stream, key, true, write).is_err() {
-                self.drop_connection(net, key, ClosedBy::Broker);
+                self.close_connection(net, key, ClosedBy::Broker);
             }
         }
     }
 
-    /// Ends a connection. Whether a part's last byte was written decides if it may have run.
-    fn drop_connection(&mut self, net: &Net, key: usize, closed_by: ClosedBy) {
+    /// Closes a connection and completes its attempts: those whose last byte was written may have run, the
+    /// others never ran.
+    fn close_connection(&mut self, net: &Net, key: usize, closed_by: ClosedBy) {
         let Some(connection) = self.connections.remove(&key) else { return };
         net.poll.remove(&connection.stream);
         drop(connection.stream);
-        // As with writes: the close is known to have happened only now, however old the loop's reading is.
-        let closed = self.now.max(net.clock.now());
+        // As with writes, the close is known to have happened only now; the loop's reading of the clock may
+        // be old.
+        let closed_at = self.now.max(net.clock.now());
         if let Some(server) = self.servers.get_mut(&connection.server) {
             server.connections.retain(|k| *k != key);
-            let lost =
-                connection.parts.values().any(|part| part.written.is_some() && part.abandoned.is_none());
-            server.losses.ends += f64::from(u8::from(lost));
+            let is_loss = connection
+                .parts
+                .values()
+                .any(|part| part.written_at.is_some() && part.cancelled_at.is_none());
+            server.losses.losses += f64::from(u8::from(is_loss));
         }
         if tracing::enabled!(tracing::Level::DEBUG) {
-            for (name, part) in connection.parts.iter().filter(|(_, part)| part.written.is_some()) {
-                self.closed.insert(name.clone(), (self.now, part.abandoned.is_some(), closed_by));
+            for (wire_id, part) in connection.parts.iter().filter(|(_, part)| part.written_at.is_some()) {
+                let was_cancelled = part.cancelled_at.is_some();
+                self.closed_parts
+                    .insert(wire_id.clone(), ClosedPart { closed_at: self.now, was_cancelled, closed_by });
             }
         }
-        let mut parts: Vec<(String, CarriedPart)> =
-            connection.parts.into_iter().filter(|(_, part)| part.abandoned.is_none()).collect();
+        let mut parts: Vec<(String, PartState)> =
+            connection.parts.into_iter().filter(|(_, part)| part.cancelled_at.is_none()).collect();
         parts.sort_by_key(|(_, part)| part.attempt);
-        // Closing here is word that all on it are given up, which its server has yet to read.
-        let heard = closed.after(GIVE_UP_READ_WITHIN);
+        // A close by this broker cancels all parts on the connection, and its server has yet to notice it.
+        let cancel_read_at = closed_at.after(CANCEL_READ_ALLOWANCE);
         if closed_by == ClosedBy::Broker {
-            for held in self.held_outcomes.iter_mut().filter(|held| held.key == key) {
-                held.due = held.due.max(heard);
+            for withheld in self.withheld_outcomes.iter_mut().filter(|withheld| withheld.key == key) {
+                withheld.due = withheld.due.max(cancel_read_at);
             }
         }
-        for (name, part) in parts {
-            if part.written.is_none() {
-                finish(&mut self.attempts, &mut self.completions, part.attempt, Verdict::NoConnection);
+        for (wire_id, part) in parts {
+            if part.written_at.is_none() {
+                complete(&mut self.attempts, &mut self.completions, part.attempt, Verdict::NoConnection);
             } else if closed_by == ClosedBy::Peer {
-                finish(&mut self.attempts, &mut self.completions, part.attempt, Verdict::ConnectionLost);
+                complete(&mut self.attempts, &mut self.completions, part.attempt, Verdict::ConnectionLost);
             } else {
-                self.hold(part.attempt, Verdict::ConnectionLost, key, name, heard);
+                self.withhold(part.attempt, Verdict::ConnectionLost, key, wire_id, cancel_read_at);
             }
         }
         for _ in connection.probes {
@@ -477,23 +502,24 @@
         }
     }
 
-    /// Takes one frame from a server. Gives whether it made sense: the part that a spoilt one answers can't be
-    /// told, so all that are out on the connection have failed.
-    fn answer(&mut self, now: Time, key: usize, server: ServerId, frame: &[u8]) -> bool {
+    /// Handles one frame from a server. Returns whether it was valid: it is unknown which part a malformed
+    /// response belongs to, so all parts in flight on the connection have failed.
+    fn handle_frame(&mut self, now: Time, key: usize, server: ServerId, frame: &[u8]) -> bool {
         let Some(connection) = self.connections.get_mut(&key) else { return false };
         match frame.split_first() {
-            Some((b'a', rest)) => {
-                let Some((name, verdict, value, load)) = read_answer(rest) else { return false };
-                // One that has not been written whole can't be answered.
-                let Some((part, written)) = connection.parts.get(name).and_then(|p| Some((p, p.written?)))
+            Some((b'a', payload)) => {
+                let Some((wire_id, verdict, value, load)) = decode_response(payload) else { return false };
+                // A response to a part that is not completely written is invalid.
+                let Some((part, written_at)) =
+                    connection.parts.get(wire_id).and_then(|part| Some((part, part.written_at?)))
                 else {
-                    return name == connection.answered;
+                    return wire_id == connection.last_answered;
                 };
                 if let Some(server) = self.servers.get_mut(&server) {
-                    server.answered = server.answered.max(written);
+                    server.last_answered_written = server.last_answered_written.max(written_at);
                 }
-                // One that was given up is disregarded: its attempt has had its outcome.
-                if part.abandoned.is_none() && self.attempts.remove(&part.attempt).is_some() {
+                // The response to a cancelled attempt is discarded: its outcome is settled.
+                if part.cancelled_at.is_none() && self.attempts.remove(&part.attempt).is_some() {
                     self.completions.push(Completion::Attempt {
                         attempt: part.attempt,
                         verdict,
@@ -501,53 +527,57 @@
                         load,
                     });
                 }
-                connection.parts.remove(name);
-                name.clone_into(&mut connection.answered);
+                connection.parts.remove(wire_id);
+                wire_id.clone_into(&mut connection.last_answered);
             }
-            Some((b'p' | b'l', rest)) => {
-                let Some(sent) = connection.probes.pop_front() else { return false };
+            Some((b'p' | b'l', payload)) => {
+                let Some(queued_at) = connection.probes.pop_front() else { return false };
                 if let Some(server) = self.servers.get_mut(&server) {
-                    server.answered = server.answered.max(sent);
+                    server.last_answered_written = server.last_answered_written.max(queued_at);
                 }
-                let (verdict, load) = match rest {
+                let (verdict, load) = match payload {
                     b"broke" => (Verdict::Error, LoadReport::default()),
-                    report => (Verdict::Served, read_report(&String::from_utf8_lossy(report))),
+                    report => (Verdict::Served, parse_load_report(&String::from_utf8_lossy(report))),
                 };
                 self.completions.push(Completion::Probe {
                     server,
                     verdict,
-                    round_trip: now.since(sent),
+                    round_trip: now.since(queued_at),
                     load,
                 });
             }
-            Some((b'e', words)) => {
-                tracing::warn!("a frame was not understood: {}", String::from_utf8_lossy(words));
+            Some((b'e', message)) => {
+                tracing::warn!(
+                    "a tile server reported an invalid frame: {}",
+                    String::from_utf8_lossy(message)
+                );
             }
             _ => return false,
         }
         true
     }
 
-    /// How many connections there are.
+    /// Number of connections, including those being established.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 }
 
-fn finish(
+/// Records the outcome of an attempt, unless it has one already.
+fn complete(
     attempts: &mut HashMap<AttemptId, usize>,
-    done: &mut Vec<Completion>,
+    completions: &mut Vec<Completion>,
     attempt: AttemptId,
     verdict: Verdict,
 ) {
     if attempts.remove(&attempt).is_some() {
-        done.push(Completion::Attempt { attempt, verdict, value: None, load: LoadReport::default() });
+        completions.push(Completion::Attempt { attempt, verdict, value: None, load: LoadReport::default() });
     }
 }
 
-/// Whether a class's parts carry the query's idempotency key.
-pub fn is_keyed(effect: RetrySafety) -> bool {
-    matches!(effect, RetrySafety::Keyed(_))
+/// Whether the parts of a class with this retry safety carry the query's idempotency key.
+pub fn is_keyed(retry_safety: RetrySafety) -> bool {
+    matches!(retry_safety, RetrySafety::Keyed(_))
 }
 
 #[cfg(test)]
--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -1,163 +1,168 @@
-//! One connection to a tile server: the frames that wait to be written, the parts that it answers for, and the bytes that
-//! have come.
+//! One connection to a tile server: the frames queued for it, the parts in flight on it, and the bytes
+//! received.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::{self, Read};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use super::frame::{Frame, MAX_FRAME, encode, without};
-use super::liveness::DEAD_AFTER;
+use super::frame::{Frame, MAX_FRAME_BYTES, encode};
+use super::liveness::DEAD_SILENCE_MULTIPLE;
 use crate::config::settings::SiteSettings;
 use crate::core::AttemptId;
 use crate::interface::{ServerId, Time};
 use crate::net::clock::Clock;
 use crate::net::outbox::{MAX_IO_SLICES, Outbox};
 
-/// What a connection's buffer keeps between answers, which are short as a rule.
-const KEPT_BUFFER: usize = 4 * 1024;
+/// Capacity of the receive buffer that is kept between responses, which are usually short, in bytes.
+const RETAINED_BUFFER_BYTES: usize = 4 * 1024;
 
-/// A part that a connection answers for.
-pub(super) struct CarriedPart {
+/// A part that was assigned to a connection and is not answered yet.
+pub(super) struct PartState {
     pub(super) attempt: AttemptId,
-    /// Its connection is in doubt once nothing has come for so long: by the aim of its own class, as a server may work
-    /// on a part of one class for longer than another one's aim.
-    pub(super) quiet: Duration,
-    /// When its frame's last byte was written: from here on it may run.
-    pub(super) written: Option<Time>,
-    /// When it was given up: nobody waits for it any more, but its answer may still come.
-    pub(super) abandoned: Option<Time>,
-    /// When the word that it was given up was written whole.
-    pub(super) told: Option<Time>,
+    /// The connection is suspect once nothing has been received for this long. Derived from the aim of the
+    /// part's own class, as a server may work on a part of one class for longer than the aim of another.
+    pub(super) silence_limit: Duration,
+    /// When the last byte of its frame was written; from then on it may run.
+    pub(super) written_at: Option<Time>,
+    /// When it was cancelled: its outcome is settled, but a response may still arrive.
+    pub(super) cancelled_at: Option<Time>,
+    /// When the cancellation was written completely.
+    pub(super) cancel_written_at: Option<Time>,
 }
 
-/// A connection to a tile server, from the first packet on.
+/// A connection to a tile server, from the start of its TCP handshake.
 pub(super) struct Connection {
     pub(super) server: ServerId,
     pub(super) address: SocketAddr,
     pub(super) stream: TcpStream,
     pub(super) connected: bool,
-    /// Attempts that might no longer begin when their turn to be written came.
-    pub(super) late: Vec<AttemptId>,
-    /// Frames that are not encoded yet, then those that are, in step with the outbox.
-    pub(super) waiting: VecDeque<Frame>,
+    /// Attempts that were not written because their latest start had passed.
+    pub(super) expired: Vec<AttemptId>,
+    /// Frames that are not encoded yet; they follow those in `encoded`.
+    pub(super) queued: VecDeque<Frame>,
+    /// Frames that are encoded, one for each buffer in the outbox.
     pub(super) encoded: VecDeque<Frame>,
     pub(super) outbox: Outbox,
-    pub(super) bytes: Vec<u8>,
-    /// Since when a frame is begun and not whole.
-    pub(super) begun: Option<Time>,
-    /// Since when its server has read nothing of a frame that is partly written.
-    blocked: Option<Time>,
-    /// The part that was answered last, whose answer may come twice.
-    pub(super) answered: String,
-    /// Parts by their id on the wire, which recurs over a part's attempts.
-    pub(super) parts: HashMap<String, CarriedPart>,
+    /// Bytes received that are not a complete frame yet.
+    pub(super) received: Vec<u8>,
+    /// Since when a frame has been partially received.
+    pub(super) partial_since: Option<Time>,
+    /// Since when a frame has been partially written without any progress.
+    write_blocked_since: Option<Time>,
+    /// Id on the wire of the part answered last, whose response may be duplicated.
+    pub(super) last_answered: String,
+    /// Parts by their id on the wire, which is the same for all attempts of a part.
+    pub(super) parts: HashMap<String, PartState>,
+    /// When each unanswered probe was queued, oldest first.
     pub(super) probes: VecDeque<Time>,
     pub(super) last_used: Time,
-    /// When anything last came.
-    pub(super) heard: Time,
-    /// A part was given up on it after a long silence, which goes on.
-    pub(super) doubted: bool,
-    /// It was probed for this silence of its own.
+    /// When anything was last received.
+    pub(super) last_received: Time,
+    /// A part was cancelled on it after its silence limit, and nothing has been received since.
+    pub(super) suspect: bool,
+    /// It was probed during the current silence.
     pub(super) probed: bool,
-    /// Whether the poller was asked for writability.
-    pub(super) asked_write: bool,
-    /// The number of the step whose sends may still join the last frame.
+    /// Whether the poller is set to report writability.
+    pub(super) write_interest: bool,
+    /// The step in which its last query frame was queued; only sends of that step may join the frame.
     pub(super) step: u64,
-    /// Attempts whose last byte was written since this was last taken.
+    /// Attempts written completely since this was last taken.
     pub(super) relayed: u64,
-    /// Parts that were given up long ago are still unanswered on it: it gets nothing new, and ends once
-    /// nobody waits for anything on it.
+    /// Parts cancelled long ago are still unanswered on it: it carries nothing new, and is closed once
+    /// nothing in flight on it is waited for.
     pub(super) retired: bool,
 }
 
 impl Connection {
-    /// A connection that was begun, and has still to come up.
+    /// Creates the state of a connection that is being established.
     pub(super) fn new(server: ServerId, address: SocketAddr, stream: TcpStream, now: Time) -> Self {
         Connection {
             server,
             address,
             stream,
             connected: false,
-            late: Vec::new(),
-            waiting: VecDeque::new(),
+            expired: Vec::new(),
+            queued: VecDeque::new(),
             encoded: VecDeque::new(),
             outbox: Outbox::default(),
-            bytes: Vec::new(),
-            begun: None,
-            blocked: None,
-            answered: String::new(),
+            received: Vec::new(),
+            partial_since: None,
+            write_blocked_since: None,
+            last_answered: String::new(),
             parts: HashMap::new(),
             probes: VecDeque::new(),
             last_used: now,
-            heard: now,
-            doubted: false,
+            last_received: now,
+            suspect: false,
             probed: false,
-            asked_write: true,
+            write_interest: true,
             step: 0,
             relayed: 0,
             retired: false,
         }
     }
 
-    /// Whether nothing is out or queued that anyone waits for.
+    /// Whether it is established and nothing is queued or in flight on it except cancelled parts.
     pub(super) fn is_idle(&self) -> bool {
         self.connected
             && self.outbox.is_empty()
-            && self.waiting.is_empty()
+            && self.queued.is_empty()
             && self.probes.is_empty()
-            && self.parts.values().all(|part| part.abandoned.is_some())
+            && self.parts.values().all(|part| part.cancelled_at.is_some())
     }
 
-    /// Parts on it that someone waits for.
-    pub(super) fn waited_for(&self) -> usize {
-        self.parts.values().filter(|part| part.abandoned.is_none()).count()
+    /// Number of parts on it that are not cancelled.
+    pub(super) fn active_parts(&self) -> usize {
+        self.parts.values().filter(|part| part.cancelled_at.is_none()).count()
     }
 
-    /// For each part that is out and waited for: since when nothing has come, and how long that may last.
+    /// For each written part that is not cancelled: the start of the silence, and the part's silence limit.
     fn silences(&self) -> impl Iterator<Item = (Time, Duration)> {
-        let waited = self.parts.values().filter(|part| part.abandoned.is_none());
-        waited.filter_map(|part| Some((part.written?.max(self.heard), part.quiet)))
+        let active = self.parts.values().filter(|part| part.cancelled_at.is_none());
+        active.filter_map(|part| Some((part.written_at?.max(self.last_received), part.silence_limit)))
     }
 
-    /// Whether nothing has come for too long for one of the parts that are out.
+    /// Whether nothing has been received for the silence limit of any part in flight.
     pub(super) fn is_silent(&self, now: Time) -> bool {
-        self.silences().any(|(since, quiet)| now.since(since) >= quiet)
+        self.silences().any(|(since, limit)| now.since(since) >= limit)
     }
 
-    /// Whether it may have fallen silent for good. Silence counts from the last word or later, so the parts that are
-    /// out are looked through only where that word is old.
-    pub(super) fn is_doubted(&self, now: Time, least_quiet: Duration) -> bool {
-        self.doubted || (now.since(self.heard) >= least_quiet && self.is_silent(now))
+    /// Whether the connection may be dead. A silence starts no earlier than the last byte received, so the
+    /// parts need checking only if that is at least the shortest silence limit ago.
+    pub(super) fn is_suspect(&self, now: Time, min_silence_limit: Duration) -> bool {
+        self.suspect || (now.since(self.last_received) >= min_silence_limit && self.is_silent(now))
     }
 
-    /// Whether it has stayed silent while its server answered on another one what was written later. `answered` is when
-    /// the youngest part that the server has answered was written.
-    pub(super) fn is_dead(&self, now: Time, answered: Time) -> bool {
-        self.silences()
-            .any(|(since, quiet)| now.since(since) >= quiet * DEAD_AFTER && answered > since.after(quiet))
+    /// Whether it has stayed silent although its server has answered, on another connection, a part written
+    /// later. `last_answered_written` is when the latest written of the parts that the server has answered
+    /// was written.
+    pub(super) fn is_dead(&self, now: Time, last_answered_written: Time) -> bool {
+        self.silences().any(|(since, limit)| {
+            now.since(since) >= limit * DEAD_SILENCE_MULTIPLE && last_answered_written > since.after(limit)
+        })
     }
 
-    /// Whether its server has neither read more of a frame that is partly written nor said anything for long, by the
-    /// classes of all parts on it. Such a frame can't be taken back: its parts get their outcome by the connection's end
-    /// alone, and did not begin.
-    pub(super) fn is_blocked(&self, now: Time) -> bool {
-        let longest_quiet = self.parts.values().map(|part| part.quiet).max();
-        self.blocked
-            .zip(longest_quiet)
-            .is_some_and(|(since, quiet)| now.since(since.max(self.heard)) >= quiet * DEAD_AFTER)
+    /// Whether a frame is partially written and its server has neither read more of it nor sent anything for
+    /// a multiple of the longest silence limit of the parts. Such a frame can't be withdrawn: its parts,
+    /// which never start, are completed only by closing the connection.
+    pub(super) fn is_write_blocked(&self, now: Time) -> bool {
+        let longest_limit = self.parts.values().map(|part| part.silence_limit).max();
+        self.write_blocked_since.zip(longest_limit).is_some_and(|(since, limit)| {
+            now.since(since.max(self.last_received)) >= limit * DEAD_SILENCE_MULTIPLE
+        })
     }
 
-    /// Writes what the socket takes. `now` is the loop's reading of the clock, and may be old: what holds from the
-    /// moment of a write is measured here, on both sides of it.
+    /// Writes what the socket accepts. `now` is the event loop's reading of the clock, which may be out of
+    /// date; the clock is therefore read again immediately before and after each write.
     pub(super) fn write(&mut self, now: Time, clock: &Clock, settings: &SiteSettings) -> io::Result<()> {
-        self.unencode();
+        self.requeue_unwritten();
         loop {
             let now = now.max(clock.now());
             while self.outbox.len() < MAX_IO_SLICES
-                && let Some(mut frame) = self.waiting.pop_front()
+                && let Some(mut frame) = self.queued.pop_front()
             {
-                if !self.leave_late(&mut frame, now) {
+                if !self.remove_expired(&mut frame, now) {
                     continue;
                 }
                 self.outbox.push(encode(&frame, now, settings));
@@ -166,26 +171,30 @@
             if self.outbox.is_empty() {
                 return Ok(());
             }
-            let before = self.outbox.completed();
-            let held = self.outbox.pending_bytes();
+            let completed_before = self.outbox.completed();
+            let pending_before = self.outbox.pending_bytes();
             let result = self.outbox.flush(&mut self.stream);
-            // The process may have been held up before the write: only now is it known to have happened. A server
-            // that was told of a give-up by an earlier reading would seem to have had its time to read it.
-            let written = now.max(clock.now());
-            let has_begun = self.outbox.partially_written() > 0;
-            let progressed = self.outbox.pending_bytes() < held;
-            self.blocked = has_begun.then(|| self.blocked.filter(|_| !progressed).unwrap_or(written));
-            for _ in before..self.outbox.completed() {
-                self.last_used = written;
+            // The process may have been suspended before the write, which is known to have happened only now.
+            // With an earlier time, the server would seem to have had time to read a cancellation not yet
+            // written.
+            let written_at = now.max(clock.now());
+            let is_partial = self.outbox.partially_written() > 0;
+            let progressed = self.outbox.pending_bytes() < pending_before;
+            self.write_blocked_since =
+                is_partial.then(|| self.write_blocked_since.filter(|_| !progressed).unwrap_or(written_at));
+            for _ in completed_before..self.outbox.completed() {
+                self.last_used = written_at;
                 match self.encoded.pop_front() {
                     Some(Frame::Query(parts)) => {
                         self.relayed += parts.len() as u64;
-                        for (name, _) in parts {
-                            self.parts.entry(name).and_modify(|part| part.written = Some(written));
+                        for (wire_id, _) in parts {
+                            self.parts.entry(wire_id).and_modify(|part| part.written_at = Some(written_at));
                         }
                     }
-                    Some(Frame::Cancel(name)) => {
-                        self.parts.entry(name).and_modify(|part| part.told = Some(written));
+                    Some(Frame::Cancel(wire_id)) => {
+                        self.parts
+                            .entry(wire_id)
+                            .and_modify(|part| part.cancel_written_at = Some(written_at));
                     }
                     _ => {}
                 }
@@ -196,44 +205,48 @@
         }
     }
 
-    /// Puts the frames back of which nothing was written. What a frame says, and whether it may go out at all, depends on
-    /// when it is written: one that waited behind a full socket would tell its server of time that has gone by.
-    pub(super) fn unencode(&mut self) {
+    /// Returns encoded frames of which nothing is written to the queue. The deadline in a frame, and whether
+    /// it may be sent at all, depend on when it is written: a frame that waited for a full socket would
+    /// otherwise tell its server more time than is left.
+    pub(super) fn requeue_unwritten(&mut self) {
         while self.encoded.len() > self.outbox.partially_written()
             && let Some(frame) = self.encoded.pop_back()
         {
             self.outbox.remove_last_unstarted();
-            self.waiting.push_front(frame);
+            self.queued.push_front(frame);
         }
     }
 
-    /// Whether anything waits to be written, or the connection has yet to come up.
+    /// Whether anything is queued to be written, or the connection is not established yet.
     pub(super) fn wants_write(&self) -> bool {
-        !self.connected || !self.outbox.is_empty() || !self.waiting.is_empty()
+        !self.connected || !self.outbox.is_empty() || !self.queued.is_empty()
     }
 
-    /// Takes the attempts out of a frame that may not begin any more. Gives whether anything is left of it.
-    pub(super) fn leave_late(&mut self, frame: &mut Frame, now: Time) -> bool {
+    /// Removes attempts from a frame whose latest start has passed. Returns whether the frame is still to be
+    /// sent.
+    pub(super) fn remove_expired(&mut self, frame: &mut Frame, now: Time) -> bool {
         let Frame::Query(parts) = frame else { return true };
-        for (name, send) in
+        for (wire_id, send) in
             parts.extract_if(.., |(_, send)| send.start_before.is_some_and(|latest| now > latest))
         {
-            self.parts.remove(&name);
-            self.late.push(send.attempt);
+            self.parts.remove(&wire_id);
+            self.expired.push(send.attempt);
         }
         !parts.is_empty()
     }
 
+    /// Reads what the socket has received, up to a limit.
     pub(super) fn read(&mut self, now: Time) -> io::Result<()> {
         let mut buffer = [0; 16 * 1024];
         loop {
             match self.stream.read(&mut buffer) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Ok(read) => {
-                    (self.last_used, self.heard, self.doubted, self.probed) = (now, now, false, false);
-                    self.bytes.extend_from_slice(&buffer[..read]);
-                    // The rest is reported again, once these frames are taken.
-                    if self.bytes.len() > MAX_FRAME + buffer.len() {
+                    (self.last_used, self.last_received, self.suspect, self.probed) =
+                        (now, now, false, false);
+                    self.received.extend_from_slice(&buffer[..read]);
+                    // The poller reports the rest again after these frames are handled.
+                    if self.received.len() > MAX_FRAME_BYTES + buffer.len() {
                         return Ok(());
                     }
                 }
@@ -244,33 +257,34 @@
         }
     }
 
-    /// Takes the whole frames out of what was read, and tells whether the rest may become one.
-    pub(super) fn frames(&mut self) -> (Vec<Vec<u8>>, bool) {
-        let (mut frames, mut at, mut sound) = (Vec::new(), 0, true);
-        while let Some((length, rest)) = self.bytes[at..].split_first_chunk::<4>() {
+    /// Removes the complete frames from the receive buffer, and returns them with whether the remaining bytes
+    /// may be the start of a valid frame.
+    pub(super) fn take_frames(&mut self) -> (Vec<Vec<u8>>, bool) {
+        let (mut frames, mut at, mut valid) = (Vec::new(), 0, true);
+        while let Some((length, rest)) = self.received[at..].split_first_chunk::<4>() {
             let length = u32::from_be_bytes(*length) as usize;
-            let known = rest.first().is_none_or(|letter| b"aepl".contains(letter));
-            if length == 0 || length > MAX_FRAME || !known {
-                sound = false;
+            let known_type = rest.first().is_none_or(|letter| b"aepl".contains(letter));
+            if length == 0 || length > MAX_FRAME_BYTES || !known_type {
+                valid = false;
                 break;
             }
             let Some(frame) = rest.get(..length) else { break };
             frames.push(frame.to_vec());
             at += 4 + length;
         }
-        self.bytes.drain(..at);
-        self.bytes.shrink_to(KEPT_BUFFER);
-        (frames, sound)
+        self.received.drain(..at);
+        self.received.shrink_to(RETAINED_BUFFER_BYTES);
+        (frames, valid)
     }
 
-    /// Takes an attempt back whose frame has not been begun.
-    pub(super) fn take_back(&mut self, attempt: AttemptId) -> bool {
-        self.unencode();
-        for index in 0..self.waiting.len() {
-            let Some((name, left)) = without(&mut self.waiting[index], attempt) else { continue };
-            self.parts.remove(&name);
+    /// Withdraws an attempt if nothing of its frame is written. Returns whether it did.
+    pub(super) fn withdraw(&mut self, attempt: AttemptId) -> bool {
+        self.requeue_unwritten();
+        for index in 0..self.queued.len() {
+            let Some((wire_id, left)) = self.queued[index].remove_attempt(attempt) else { continue };
+            self.parts.remove(&wire_id);
             if left == 0 {
-                self.waiting.remove(index);
+                self.queued.remove(index);
             }
             return true;
         }
