--- /dev/null
+++ b/src/backend/cancel.rs
@@ -0,0 +1,112 @@
+//! Cancellation of attempts. An attempt of which nothing is written is withdrawn at once; the outcome of any
+//! other is withheld until its server has had time to read the cancellation.
+
+use std::time::Duration;
+
+use super::frame::Frame;
+use super::{Backend, Completion, complete};
+use crate::core::AttemptId;
+use crate::interface::{LoadReport, Time, Verdict};
+use crate::net::{Net, TimerEvent};
+
+/// How long after a cancellation is written (a frame `c`, or this broker's close of the connection) the
+/// server is taken to have read it: the slack that the protocol allows on every time limit. Until then the
+/// part is not sent again, as a server could read the next attempt, on another connection, before the
+/// cancellation, and two attempts would be in flight at once.
+pub(super) const CANCEL_READ_ALLOWANCE: Duration = Duration::from_millis(50);
+
+/// The outcome of a cancelled attempt, withheld until its server has read the cancellation.
+pub(super) struct WithheldOutcome {
+    /// Earliest time at which the outcome is reported.
+    pub(super) due: Time,
+    /// Key of the connection that carries the cancellation.
+    pub(super) key: usize,
+    /// The part's id on the wire.
+    wire_id: String,
+    completion: Completion,
+}
+
+impl Backend {
+    /// Cancels an attempt. Its verdict is `verdict` if it may have run, and [`Verdict::NotSent`] otherwise.
+    pub fn cancel(&mut self, now: Time, attempt: AttemptId, verdict: Verdict) {
+        self.now = self.now.max(now);
+        self.withdraw(now, attempt);
+        let Some(&key) = self.attempts.get(&attempt) else { return };
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        let Some((wire_id, part)) = connection.parts.iter_mut().find(|(_, part)| part.attempt == attempt)
+        else {
+            return;
+        };
+        part.cancelled_at = Some(now);
+        let since = part.written_at.unwrap_or(now).max(connection.last_received);
+        connection.suspect |= now.since(since) >= part.silence_limit;
+        connection.queued.push_back(Frame::Cancel(wire_id.clone()));
+        let wire_id = wire_id.clone();
+        self.unflushed.push(key);
+        self.withhold(attempt, verdict, key, wire_id, now.after(CANCEL_READ_ALLOWANCE));
+    }
+
+    /// Withdraws an attempt if nothing of it has been written, so that it never runs.
+    pub fn withdraw(&mut self, now: Time, attempt: AttemptId) {
+        self.now = self.now.max(now);
+        let Some(connection) = self.attempts.get(&attempt).and_then(|key| self.connections.get_mut(key))
+        else {
+            return;
+        };
+        if connection.withdraw(attempt) {
+            complete(&mut self.attempts, &mut self.completions, attempt, Verdict::NotSent);
+        }
+    }
+
+    /// Withholds the outcome of a cancelled attempt until its server has read the cancellation. The
+    /// counterpart of [`complete`] for cancelled attempts.
+    pub(super) fn withhold(
+        &mut self,
+        attempt: AttemptId,
+        verdict: Verdict,
+        key: usize,
+        wire_id: String,
+        due: Time,
+    ) {
+        if self.attempts.remove(&attempt).is_some() {
+            let completion =
+                Completion::Attempt { attempt, verdict, value: None, load: LoadReport::default() };
+            self.withheld_outcomes.push(WithheldOutcome { due, key, wire_id, completion });
+        }
+    }
+
+    /// Reports the outcomes of cancelled attempts whose servers have read the cancellation by now, and sets
+    /// the timer for the next ones.
+    pub(super) fn release_withheld(&mut self, net: &mut Net, now: Time) {
+        let mut index = 0;
+        while index < self.withheld_outcomes.len() {
+            let withheld = &mut self.withheld_outcomes[index];
+            let cancel_written = self
+                .connections
+                .get(&withheld.key)
+                .and_then(|connection| connection.parts.get(&withheld.wire_id))
+                .map(|part| part.cancel_written_at);
+            let due = match cancel_written {
+                // The connection is closed, or the server answered the part.
+                None => withheld.due,
+                // The cancellation is queued behind other frames.
+                Some(None) => now.after(CANCEL_READ_ALLOWANCE),
+                Some(Some(at)) => withheld.due.max(at.after(CANCEL_READ_ALLOWANCE)),
+            };
+            if due <= now {
+                let withheld = self.withheld_outcomes.swap_remove(index);
+                self.completions.push(withheld.completion);
+            } else {
+                withheld.due = due;
+                index += 1;
+            }
+        }
+        let next = self.withheld_outcomes.iter().map(|withheld| withheld.due).min();
+        if let Some(next) = next
+            && self.withheld_timer.is_none_or(|armed| armed <= now || next < armed)
+        {
+            net.timers.arm(next, TimerEvent::CancelsRead);
+            self.withheld_timer = Some(next);
+        }
+    }
+}
