--- a/src/bin/badgergauge/demo.rs
+++ b/src/bin/badgergauge/demo.rs
@@ -1,4 +1,5 @@
-//! `demo`: a fleet of stand-ins and a broker over them, in one process, on loopback ports of its own.
+//! `badgergauge demo`: simulated tile servers and a broker in one process, on loopback ports that the operating
+//! system assigns.
 
 use std::path::{Path, PathBuf};
 use std::{fs, io, thread};
@@ -10,80 +11,80 @@
 use serde_json::json;
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-use crate::{DONE, REFUSED};
+use crate::{EXIT_ERROR, EXIT_OK};
 
-/// Tile blocks of the demo.
+/// Number of shards in the demo; one shard is one tile block.
 const BLOCKS: usize = 24;
 
-/// What `demo` is told.
+/// Arguments of `badgergauge demo`.
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// Stand-in tile servers.
+    /// Number of simulated tile servers.
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u8).range(2..=64))]
     servers: u8,
 }
 
-/// A folder that goes with the demo.
-struct Folder(PathBuf);
+/// A temporary directory that is removed on drop.
+struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     fn new() -> io::Result<Self> {
         let path = std::env::temp_dir().join(format!("badgergauge-demo-{}", std::process::id()));
         fs::create_dir_all(&path)?;
-        Ok(Folder(path))
+        Ok(TempDir(path))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// Runs until Ctrl-C or SIGTERM.
+/// Runs the demo until Ctrl-C or SIGTERM and returns the exit code.
 pub fn run(arguments: &Arguments) -> u8 {
-    match demo(arguments) {
-        Ok(()) => DONE,
+    match run_demo(arguments) {
+        Ok(()) => EXIT_OK,
         Err(error) => {
             eprintln!("badgergauge: demo: {error}");
-            REFUSED
+            EXIT_ERROR
         }
     }
 }
 
-fn demo(arguments: &Arguments) -> Result<(), String> {
-    let plain = |error: io::Error| error.to_string();
-    let folder = Folder::new().map_err(plain)?;
+fn run_demo(arguments: &Arguments) -> Result<(), String> {
+    let message = |error: io::Error| error.to_string();
+    let dir = TempDir::new().map_err(message)?;
     let count = usize::from(arguments.servers);
-    let servers = (0..count).map(|_| TileServer::start()).collect::<Result<Vec<_>, _>>().map_err(plain)?;
-    let config = write(&folder.0, &servers).map_err(plain)?;
-    let config =
-        Config::from_files(&config, &folder.0.join("ogc.yaml")).map_err(|faults| faults.to_string())?;
+    let servers = (0..count).map(|_| TileServer::start()).collect::<Result<Vec<_>, _>>().map_err(message)?;
+    let config = write_config(&dir.0, &servers).map_err(message)?;
+    let config = Config::from_files(&config, &dir.0.join("ogc.yaml")).map_err(|errors| errors.to_string())?;
     let _log = log::start(config.service.log)?;
-    let broker = Broker::start(config).map_err(plain)?;
-    // Ctrl-C ends it as SIGTERM does: what was taken is answered first.
-    let mut signals = signal_hook::iterator::Signals::new([SIGINT]).map_err(plain)?;
+    let broker = Broker::start(config).map_err(message)?;
+    // Ctrl-C is handled as SIGTERM: accepted requests are answered before the process exits.
+    let mut signals = signal_hook::iterator::Signals::new([SIGINT]).map_err(message)?;
     thread::spawn(move || {
         if signals.forever().next().is_some() {
             let _ = signal_hook::low_level::raise(SIGTERM);
         }
     });
-    let [platform, ogc] = broker.addresses()[..] else { return Err("a front does not listen".into()) };
-    println!("{count} tile servers, {BLOCKS} tile blocks, one broker. Ctrl-C ends it.\n");
-    println!("The platform's protocol, one query of two parts:\n");
+    let [platform, ogc] = broker.addresses()[..] else { return Err("a client listener is missing".into()) };
+    println!("{count} tile servers, {BLOCKS} tile blocks, one broker. Press Ctrl-C to stop.\n");
+    println!("Platform protocol, one query with two parts:\n");
     println!(
         "  curl -s http://{platform}/parcel-search -H 'X-Request-ID: d1' -H 'X-Timeout: 5000m' \
          -d '{{\"tablets\":[{{\"tablet\":3,\"fraction\":0.5}},{{\"tablet\":9,\"fraction\":0.5}}],\"statement\":\"c41e77d0\"}}'\n"
     );
-    println!("OGC feature queries (WFS 2.0), a page of five:\n");
+    println!("OGC feature query (WFS 2.0), one page of five features:\n");
     println!(
         "  curl -s 'http://{ogc}/wfs?SERVICE=WFS&VERSION=2.0.2&REQUEST=GetFeature&TYPENAMES=tcm:parcel&COUNT=5'\n"
     );
-    broker.run().map_err(plain)
+    broker.run().map_err(message)
 }
 
-/// Writes the demo's configuration, inventory and front, and gives the configuration's path.
-fn write(dir: &Path, servers: &[TileServer]) -> io::Result<PathBuf> {
+/// Writes the configuration, the inventory and the OGC front's configuration to `dir`; returns the path of the
+/// configuration.
+fn write_config(dir: &Path, servers: &[TileServer]) -> io::Result<PathBuf> {
     let class = |name: &str, effect: &str, credit: f64| {
         json!({"name": name, "effect": effect, "credit": credit, "lateShare": 0.3,
             "aimNs": 2_000_000_000_u64, "deadlineNs": 5_000_000_000_u64, "windowNs": 5_000_000_000_u64})
--- a/src/bin/badgergauge/main.rs
+++ b/src/bin/badgergauge/main.rs
@@ -1,4 +1,4 @@
-//! The broker, and the tools round it.
+//! The `badgergauge` program: the broker and its command line tools.
 
 mod demo;
 mod fleet;
@@ -12,23 +12,23 @@
 
 use clap::{CommandFactory, Parser, Subcommand};
 
-/// Done.
-pub const DONE: u8 = 0;
-/// What was given can't be used.
-pub const REFUSED: u8 = 1;
-/// A result that is not complete was written all the same.
-pub const INCOMPLETE: u8 = 3;
-/// A run of a fleet broke a rule.
-pub const BROKEN: u8 = 4;
+/// Exit code: success.
+pub const EXIT_OK: u8 = 0;
+/// Exit code: the input was refused or the command failed; for `trace verify`, a decision differs.
+pub const EXIT_ERROR: u8 = 1;
+/// Exit code: an incomplete result was written.
+pub const EXIT_INCOMPLETE: u8 = 3;
+/// Exit code: a fleet run broke a rule.
+pub const EXIT_RULE_BROKEN: u8 = 4;
 
-/// A broker for sharded queries, and the tools round it.
+/// A broker for sharded queries, and its tools.
 ///
-/// Without a command it serves, by the variables and files that the README lists.
+/// Without a command it runs the broker, configured by the environment variables and files listed in the README.
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Exit codes: 0 done, 1 input refused, 2 wrong usage, 3 a result that is not \
-    complete was written all the same, 4 a fleet broke a rule.\n\nExample:\n  badgergauge demo"
+    after_help = "Exit codes: 0 success, 1 input refused or command failed, 2 wrong usage, 3 an \
+    incomplete result was written, 4 a fleet broke a rule.\n\nExample:\n  badgergauge demo"
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -37,38 +37,38 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves until SIGTERM; the same as no command.
+    /// Runs the broker until SIGTERM; the default without a command.
     #[command(after_help = "Example:\n  BALANCER_NAME=n0 BALANCER_LISTEN=127.0.0.1:9000 \
         BALANCER_DISCOVERY=127.0.0.1:8500 \\\n    BALANCER_CONFIG=config.json badgergauge serve")]
     Serve,
-    /// Reads all configuration as a start would and says every fault, with its file, line and key.
+    /// Validates the configuration that the broker would start with; reports every error with its file, line and key.
     #[command(after_help = "Example:\n  BALANCER_CONFIG=config.json BALANCER_SERVICE=service.yaml \
         badgergauge check")]
     Check,
-    /// Puts up stand-in tile servers and a broker on loopback ports, and says how to ask them.
-    #[command(after_help = "Example:\n  badgergauge demo --servers 6    # and Ctrl-C when done")]
+    /// Starts simulated tile servers and a broker on loopback ports, and prints example requests.
+    #[command(after_help = "Example:\n  badgergauge demo --servers 6    # stop it with Ctrl-C")]
     Demo(demo::Arguments),
-    /// Runs a fleet of brokers as processes on loopback, with faults between them, and reports what was seen.
+    /// Runs a fleet of broker processes on loopback with injected faults, and reports the results.
     #[command(
         subcommand,
         after_help = "Example:\n  badgergauge fleet run scenarios/herd.yaml --out run && \
         badgergauge fleet report run"
     )]
     Fleet(fleet::Fleet),
-    /// Looks into the store of a broker that is not running.
+    /// Inspects the store of a broker that is not running.
     #[command(subcommand, after_help = "Example:\n  badgergauge store info /var/lib/badgergauge/state")]
-    Store(store::Tool),
-    /// Makes, reads, cuts, merges, masks and checks trace files.
+    Store(store::StoreCommand),
+    /// Generates, reads, cuts, merges, masks and verifies trace files.
     #[command(
         subcommand,
         after_help = "Example:\n  badgergauge trace synth --duration 1m --out t && badgergauge \
         trace summary t"
     )]
     Trace(trace::Trace),
-    /// Writes the completions for a shell to standard output.
+    /// Prints the completion script for a shell.
     #[command(after_help = "Example:\n  badgergauge completions bash > badgergauge.bash")]
     Completions {
-        /// The shell.
+        /// Shell to generate completions for.
         shell: clap_complete::Shell,
     },
 }
@@ -78,12 +78,12 @@
         Command::Serve => serve::serve(),
         Command::Check => serve::check(),
         Command::Demo(arguments) => demo::run(&arguments),
-        Command::Fleet(tool) => fleet::run(tool),
-        Command::Store(tool) => store::run(tool),
+        Command::Fleet(command) => fleet::run(command),
+        Command::Store(command) => store::run(command),
         Command::Trace(tool) => trace::run(tool),
         Command::Completions { shell } => {
             clap_complete::generate(shell, &mut Arguments::command(), "badgergauge", &mut io::stdout());
-            DONE
+            EXIT_OK
         }
     };
     ExitCode::from(code)
@@ -94,7 +94,7 @@
     use super::*;
 
     #[test]
-    fn the_command_line_is_sound() {
+    fn command_line_definition_is_valid() {
         Arguments::command().debug_assert();
     }
 }
--- a/src/bin/badgergauge/serve.rs
+++ b/src/bin/badgergauge/serve.rs
@@ -1,61 +1,61 @@
-//! `serve` and `check`.
+//! `badgergauge serve` and `badgergauge check`.
 
 use badgergauge::broker::Broker;
 use badgergauge::config::Config;
 use badgergauge::{inventory, log};
 
-use crate::{DONE, REFUSED};
+use crate::{EXIT_ERROR, EXIT_OK};
 
-/// Serves until SIGTERM.
+/// Runs the broker until SIGTERM and returns the exit code.
 pub fn serve() -> u8 {
     let config = match Config::from_env() {
         Ok(config) => config,
-        Err(faults) => {
-            eprintln!("badgergauge: {faults}");
-            return REFUSED;
+        Err(errors) => {
+            eprintln!("badgergauge: {errors}");
+            return EXIT_ERROR;
         }
     };
     let guard = log::start(config.service.log);
     if let Err(error) = &guard {
-        eprintln!("badgergauge: no log: {error}");
+        eprintln!("badgergauge: cannot start logging: {error}");
     }
     match Broker::start(config).and_then(Broker::run) {
-        Ok(()) => DONE,
+        Ok(()) => EXIT_OK,
         Err(error) => {
             drop(guard);
             eprintln!("badgergauge: {error}");
-            REFUSED
+            EXIT_ERROR
         }
     }
 }
 
-/// Says every fault of the configuration.
+/// Reports every error in the configuration and returns the exit code.
 pub fn check() -> u8 {
-    let mut faults: Vec<String> = Vec::new();
+    let mut errors: Vec<String> = Vec::new();
     match Config::from_env() {
-        Err(found) => faults.extend(found.0.iter().map(ToString::to_string)),
+        Err(found) => errors.extend(found.0.iter().map(ToString::to_string)),
         Ok(config) => {
             if let Some(path) = config.ogc.as_ref().and_then(|ogc| ogc.inventory.as_ref()) {
                 match std::fs::read_to_string(path) {
                     Ok(text) => {
-                        faults.extend(inventory::faults(path, &text).iter().map(ToString::to_string));
+                        errors.extend(inventory::faults(path, &text).iter().map(ToString::to_string));
                     }
-                    Err(error) => faults.push(format!("{}: {error}", path.display())),
+                    Err(error) => errors.push(format!("{}: {error}", path.display())),
                 }
             }
-            if faults.is_empty() {
-                let on = |on: bool| if on { "on" } else { "off" };
+            if errors.is_empty() {
+                let on_off = |on: bool| if on { "on" } else { "off" };
                 println!("{}: sound", config.name);
                 println!("clients: {}", config.listen);
                 let control = config.control.map_or_else(|| "off".to_owned(), |address| address.to_string());
                 println!("control: {control}");
-                println!("OGC front: {}", on(config.ogc.is_some()));
-                println!("trace: {}", on(config.service.trace.is_some()));
+                println!("OGC front: {}", on_off(config.ogc.is_some()));
+                println!("trace: {}", on_off(config.service.trace.is_some()));
             }
         }
     }
-    for fault in &faults {
-        eprintln!("badgergauge: {fault}");
+    for error in &errors {
+        eprintln!("badgergauge: {error}");
     }
-    if faults.is_empty() { DONE } else { REFUSED }
+    if errors.is_empty() { EXIT_OK } else { EXIT_ERROR }
 }
--- a/src/bin/badgergauge/soak.rs
+++ b/src/bin/badgergauge/soak.rs
@@ -1,4 +1,4 @@
-//! `fleet soak`: scenarios drawn from seeds, played side by side.
+//! `badgergauge fleet soak`: runs randomly generated scenarios in parallel.
 
 use std::fmt::Write;
 use std::fs;
@@ -11,42 +11,42 @@
 use badgergauge_fleet::soak::{self, Outcome};
 
 use crate::fleet::broker_program;
-use crate::{BROKEN, DONE};
+use crate::{EXIT_OK, EXIT_RULE_BROKEN};
 
-/// Cores that a fleet keeps busy at its peaks.
+/// CPU cores that one fleet uses at peak load.
 const CORES_PER_FLEET: usize = 2;
 
-/// What `fleet soak` is told.
+/// Arguments of `fleet soak`.
 #[derive(clap::Args)]
 pub struct Soak {
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// So many seeds.
+    /// Number of seeds.
     #[arg(long, default_value_t = 50, conflicts_with = "seed")]
     seeds: u64,
-    /// This seed alone; all that was written stays in `--out`.
+    /// Run only this seed; keeps its files in `--out` in any case.
     #[arg(long, conflicts_with = "first")]
     seed: Option<u64>,
-    /// A folder for what was written: of each seed that broke a rule, or of the one seed.
+    /// Output folder. Keeps the files of the seeds that broke a rule, or of the single seed.
     #[arg(long, default_value = "fleet-soak")]
     out: PathBuf,
-    /// So many fleets at once; half as many as there are cores if it is not given.
+    /// Number of fleets to run in parallel; half the number of CPU cores by default.
     #[arg(long, value_parser = clap::value_parser!(u16).range(1..=64))]
     at_once: Option<u16>,
-    /// The broker's program, in place of this one.
+    /// Broker executable to run instead of this one.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Brokers write what they decide, and why, to trace files.
+    /// Let the brokers record their decisions and the reasons in trace files.
     #[arg(long)]
     trace: bool,
 }
 
-/// Plays them. Gives the exit code.
+/// Runs the seeds and returns the exit code.
 ///
 /// # Errors
 ///
-/// When the harness can't do its part, for any of the seeds.
+/// When the test harness itself fails for any of the seeds.
 pub fn run(arguments: &Soak) -> io::Result<u8> {
     let program = broker_program(arguments.program.as_deref())?;
     let (first, seeds) = match arguments.seed {
@@ -54,32 +54,32 @@
         None => (arguments.first, arguments.seeds),
     };
     let cores = thread::available_parallelism().map_or(1, usize::from);
-    let at_once = arguments.at_once.map_or((cores / CORES_PER_FLEET).max(1), usize::from);
-    let next = AtomicU64::new(first);
+    let workers = arguments.at_once.map_or((cores / CORES_PER_FLEET).max(1), usize::from);
+    let next_seed = AtomicU64::new(first);
     let broken = AtomicU64::new(0);
     let worker = || -> io::Result<()> {
         loop {
-            let seed = next.fetch_add(1, Ordering::Relaxed);
+            let seed = next_seed.fetch_add(1, Ordering::Relaxed);
             if seed >= first + seeds {
                 return Ok(());
             }
-            let outcome = play(arguments, &program, seed)?;
+            let outcome = run_seed(arguments, &program, seed)?;
             broken.fetch_add(u64::from(!outcome.broken.is_empty()), Ordering::Relaxed);
-            println!("{}", line(seed, &outcome));
+            println!("{}", format_outcome(seed, &outcome));
         }
     };
     let results: Vec<io::Result<()>> = thread::scope(|scope| {
-        let workers: Vec<_> = (0..at_once).map(|_| scope.spawn(worker)).collect();
-        let panicked = |_| Err(io::Error::other("a player panicked"));
-        workers.into_iter().map(|worker| worker.join().unwrap_or_else(panicked)).collect()
+        let threads: Vec<_> = (0..workers).map(|_| scope.spawn(worker)).collect();
+        let panicked = |_| Err(io::Error::other("a worker thread panicked"));
+        threads.into_iter().map(|thread| thread.join().unwrap_or_else(panicked)).collect()
     });
     results.into_iter().collect::<io::Result<()>>()?;
     let broken = broken.into_inner();
     println!("{seeds} seeds from {first}: {broken} broke a rule");
-    Ok(if broken == 0 { DONE } else { BROKEN })
+    Ok(if broken == 0 { EXIT_OK } else { EXIT_RULE_BROKEN })
 }
 
-fn play(arguments: &Soak, program: &Path, seed: u64) -> io::Result<Outcome> {
+fn run_seed(arguments: &Soak, program: &Path, seed: u64) -> io::Result<Outcome> {
     let dir = arguments.out.join(format!("seed-{seed}"));
     let mut options = Options::new(program, &dir, &format!("seed-{seed}"));
     options.trace = arguments.trace;
@@ -90,8 +90,8 @@
     Ok(outcome)
 }
 
-/// A seed's line: what was drawn, which rules were broken, and how late the harness was.
-fn line(seed: u64, outcome: &Outcome) -> String {
+/// One line for a seed: its events, the broken rules, and how late the harness sent at worst.
+fn format_outcome(seed: u64, outcome: &Outcome) -> String {
     let record = &outcome.record;
     let mut line = format!(
         "seed {seed}: {} brokers, {} servers; {}; ",
--- a/src/bin/badgergauge/store.rs
+++ b/src/bin/badgergauge/store.rs
@@ -1,4 +1,4 @@
-//! `store`: a look into a broker's store.
+//! `badgergauge store`: inspects a broker's store.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,87 +9,86 @@
 use badgergauge::state;
 use badgergauge_store::engine::Store;
 
-use crate::{DONE, REFUSED};
+use crate::{EXIT_ERROR, EXIT_OK};
 
-/// What `store` does.
+/// Subcommands of `badgergauge store`.
 #[derive(clap::Subcommand)]
-pub enum Tool {
-    /// Says whose store it is, and what is in it.
+pub enum StoreCommand {
+    /// Shows which broker the store belongs to, and a summary of its contents.
     #[command(after_help = "Example:\n  badgergauge store info /var/lib/badgergauge/state")]
-    Info(At),
-    /// Reads everything, and says what a start with the broker's configuration would believe of it and why.
+    Info(StorePath),
+    /// Reads all records, and shows which of them the broker would restore with its present configuration, and why.
     #[command(after_help = "Example:\n  BALANCER_CONFIG=config.json badgergauge store check \
         /var/lib/badgergauge/state")]
-    Check(At),
-    /// Writes every record as a line of JSON.
+    Check(StorePath),
+    /// Prints every record as one line of JSON.
     #[command(after_help = "Example:\n  badgergauge store dump /var/lib/badgergauge/state")]
-    Dump(At),
+    Dump(StorePath),
 }
 
-/// Which store.
+/// Location of the store.
 #[derive(clap::Args)]
-pub struct At {
-    /// The file. The broker must not be running: it keeps the file for itself.
+pub struct StorePath {
+    /// Store file. The broker must not be running, as it holds a lock on the file.
     path: PathBuf,
 }
 
-/// Runs one of them.
-pub fn run(tool: Tool) -> u8 {
-    let (path, done) = match tool {
-        Tool::Info(At { path }) => (path.clone(), info(&path)),
-        Tool::Check(At { path }) => (path.clone(), check(&path)),
-        Tool::Dump(At { path }) => (path.clone(), dump(&path)),
+/// Runs a subcommand and returns the exit code.
+pub fn run(command: StoreCommand) -> u8 {
+    let (path, result) = match command {
+        StoreCommand::Info(StorePath { path }) => (path.clone(), info(&path)),
+        StoreCommand::Check(StorePath { path }) => (path.clone(), check(&path)),
+        StoreCommand::Dump(StorePath { path }) => (path.clone(), dump(&path)),
     };
-    match done {
-        Ok(()) => DONE,
-        Err(fault) => {
-            eprintln!("badgergauge: store: {}: {fault}", path.display());
-            REFUSED
+    match result {
+        Ok(()) => EXIT_OK,
+        Err(error) => {
+            eprintln!("badgergauge: store: {}: {error}", path.display());
+            EXIT_ERROR
         }
     }
 }
 
-fn plain(error: impl std::fmt::Display) -> String {
+fn message(error: impl std::fmt::Display) -> String {
     error.to_string()
 }
 
 fn info(path: &Path) -> Result<(), String> {
-    let store = Store::open_existing(path).map_err(plain)?;
-    let (head, stored) = (store.header(), store.read().map_err(plain)?);
-    println!("broker {}, installation {}, format {}", head.name, head.site, head.format);
-    println!("opened {} times; discovery {:?}, version {}", head.opened, head.discovery, head.index);
-    let mut standing: BTreeMap<String, usize> = BTreeMap::new();
+    let store = Store::open_existing(path).map_err(message)?;
+    let (header, stored) = (store.header(), store.read().map_err(message)?);
+    println!("broker {}, installation {}, format {}", header.name, header.site, header.format);
+    println!("opened {} times; discovery {:?}, version {}", header.opened, header.discovery, header.index);
+    let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for server in stored.servers.values() {
-        *standing.entry(format!("{:?}", server.status).to_lowercase()).or_default() += 1;
+        *counts.entry(format!("{:?}", server.status).to_lowercase()).or_default() += 1;
     }
-    let counted: Vec<String> =
-        standing.iter().map(|(standing, count)| format!("{count} {standing}")).collect();
-    let size = std::fs::metadata(path).map_err(plain)?.len();
-    println!("{} servers ({}), {} kB", stored.servers.len(), counted.join(", "), size / 1024);
+    let counts: Vec<String> = counts.iter().map(|(status, count)| format!("{count} {status}")).collect();
+    let size = std::fs::metadata(path).map_err(message)?.len();
+    println!("{} servers ({}), {} kB", stored.servers.len(), counts.join(", "), size / 1024);
     Ok(())
 }
 
 fn check(path: &Path) -> Result<(), String> {
-    let stored = Store::open_existing(path).and_then(|store| store.read()).map_err(plain)?;
+    let stored = Store::open_existing(path).and_then(|store| store.read()).map_err(message)?;
     println!("sound: {} servers", stored.servers.len());
-    let config = Config::from_env().map_err(plain)?;
+    let config = Config::from_env().map_err(message)?;
     let clock = Clock::start();
     let known = config.known.as_ref().map(|known| ServerList::from_value(known, &clock)).transpose();
     let known = known.map_err(|error| error.to_string())?;
     let discovery = config.discovery.map_or(String::new(), |at| at.to_string());
     match state::beliefs(&clock, &discovery, known.as_ref(), &stored) {
-        Ok(beliefs) => {
-            for (name, belief) in beliefs {
-                println!("{name}: {:?}, {}", belief.status, belief.reason);
+        Ok(resolutions) => {
+            for (name, resolution) in resolutions {
+                println!("{name}: {:?}, {}", resolution.status, resolution.reason);
             }
         }
-        Err(why) => println!("nothing would be believed: {why}"),
+        Err(reason) => println!("nothing would be believed: {reason}"),
     }
     Ok(())
 }
 
 fn dump(path: &Path) -> Result<(), String> {
-    let stored = Store::open_existing(path).and_then(|store| store.read()).map_err(plain)?;
+    let stored = Store::open_existing(path).and_then(|store| store.read()).map_err(message)?;
     for (name, server) in stored.servers {
         println!("{}", serde_json::json!({"kind": "server", "name": name, "server": server}));
     }
--- a/src/bin/badgergauge/trace.rs
+++ b/src/bin/badgergauge/trace.rs
@@ -20,7 +20,7 @@
 use jiff::Timestamp;
 use serde_json::json;
 
-use crate::{DONE, INCOMPLETE, REFUSED};
+use crate::{EXIT_ERROR, EXIT_INCOMPLETE, EXIT_OK};
 
 /// Subcommands of `badgergauge trace`.
 #[derive(Subcommand)]
@@ -339,23 +339,23 @@
     };
     match done {
         Ok(code) => code,
-        Err(Stop::BrokenPipe) => DONE,
+        Err(Stop::BrokenPipe) => EXIT_OK,
         Err(Stop::Error(error)) => {
             eprintln!("badgergauge: trace: {error}");
-            REFUSED
+            EXIT_ERROR
         }
     }
 }
 
-/// Prints the problems found in the input files to standard error. Returns the exit code: [`INCOMPLETE`] if
+/// Prints the problems found in the input files to standard error. Returns the exit code: [`EXIT_INCOMPLETE`] if
 /// the result may lack records because of one.
 fn report_notices(notices: &[Notice]) -> u8 {
-    let mut code = DONE;
+    let mut code = EXIT_OK;
     for Notice { path, message } in notices {
         eprintln!("badgergauge: trace: {}: {message}", path.display());
         // Without an index, reading is slower but complete.
         if *message != FileEnd::Unclosed.to_string() {
-            code = INCOMPLETE;
+            code = EXIT_INCOMPLETE;
         }
     }
     code
@@ -387,7 +387,7 @@
         "tries": made.tries, "whole": whole, "partial": partial, "refused": refused, "failed": failed,
         "nobody": nobody, "skewsNs": made.skews});
     println!("{report}");
-    Ok(DONE)
+    Ok(EXIT_OK)
 }
 
 /// The steps of one run in a file.
@@ -402,7 +402,7 @@
 }
 
 fn info(arguments: &Inputs) -> Result<u8, Stop> {
-    let mut code = DONE;
+    let mut code = EXIT_OK;
     for path in trace_files(&arguments.inputs)? {
         let mut reader = open(&path)?;
         let (major, minor) = reader.version();
@@ -465,7 +465,7 @@
             print(format!("  damaged: {damage}"))?;
         }
         if !reader.damage().is_empty() || !matches!(end, FileEnd::Complete | FileEnd::Unclosed) {
-            code = INCOMPLETE;
+            code = EXIT_INCOMPLETE;
         }
     }
     Ok(code)
@@ -568,7 +568,7 @@
         }
     }
     let mut offsets = vec![Offset::default(); sources.len()];
-    let mut code = DONE;
+    let mut code = EXIT_OK;
     if !arguments.no_align {
         let progress = Progress::new("comparing clocks");
         let alignment = tools::align(MergedStream::open(&files, i64::MIN..i64::MAX)?, &mut |done, total| {
@@ -578,7 +578,7 @@
         offsets = alignment.offsets;
         println!("{} client retries at another broker", alignment.retries);
         if alignment.causality_violations > 0 {
-            code = INCOMPLETE;
+            code = EXIT_INCOMPLETE;
             eprintln!(
                 "badgergauge: trace: {} client retries precede their first tries with any clock offsets",
                 alignment.causality_violations
@@ -634,7 +634,7 @@
     }
     let mask = Mask::new(&secret);
     fs::create_dir_all(&arguments.out).map_err(|error| ToolError::Write(arguments.out.clone(), error))?;
-    let mut code = DONE;
+    let mut code = EXIT_OK;
     for path in trace_files(&arguments.inputs.inputs)? {
         let name = path.file_name().map_or_else(|| Path::new("trace.bgt").into(), PathBuf::from);
         let (written, _) = tools::copy(&path, &arguments.out.join(name), Some(&mask))?;
@@ -812,7 +812,7 @@
         println!("{name}: {} decisions identical", run.decisions);
         if let Some(why) = &run.stopped {
             println!("{name}: not verified beyond these: {why}");
-            code = code.max(INCOMPLETE);
+            code = code.max(EXIT_INCOMPLETE);
         }
     }
     // The earliest difference of all runs.
@@ -831,5 +831,5 @@
             .map_or_else(|| "no further action".to_owned(), |a| describer.action(a, &servers).0);
         println!("  {origin}: {text}");
     }
-    Ok(REFUSED)
+    Ok(EXIT_ERROR)
 }
