--- a/crates/control/src/connection.rs
+++ b/crates/control/src/connection.rs
@@ -1,4 +1,4 @@
-//! One operator's connection: a single call and its answer.
+//! A connection to the control endpoint. It serves a single request and is then closed.
 
 use std::io::{self, Read};
 use std::net::{Shutdown, TcpStream};
@@ -7,56 +7,57 @@
 use badgergauge_net::http::{HttpError, RequestReader, Response};
 use badgergauge_net::outbox::Outbox;
 
-use crate::calls::{self, Answered};
+use crate::handlers::{self, Handled};
 use crate::operations::Operations;
 
-/// A call has to be whole in this time after its connection was accepted.
-const CALL_TIME: Duration = Duration::from_secs(10);
-/// An answer has to be taken in this time, and the connection ended by its caller.
-const ANSWER_TIME: Duration = Duration::from_secs(2);
-/// A connection keeps its place so long where all places are taken: its call may be on the way. Behind a hundred silent
-/// callers at eight places, which is the fewest, the next one has its turn after half a second.
+/// Time from accepting a connection by which its request must be complete.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time for the client to read the response, and then to close the connection.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Minimum time before a connection that has no response yet may be evicted to make room for another, as its
+/// request may still be in transit. With the minimum of eight connections, a client queued behind a hundred
+/// idle ones is served after half a second.
 const EVICTION_GRACE: Duration = Duration::from_millis(40);
-/// Reads of one turn, so that no caller keeps the thread from the others.
+/// Maximum number of reads per readiness event, so that one client can't monopolise the thread.
 const MAX_READS: usize = 4;
 
-/// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// The call is coming in.
+    /// Receiving the request.
     Reading,
-    /// The answer is being written.
+    /// Sending the response.
     Writing,
-    /// The answer is written and this side has ended: what still comes is read away, as a close over unread bytes
-    /// would reset the connection.
+    /// The response is sent and the write side is shut down. Further input is read and discarded, as closing
+    /// a socket with unread data would reset the connection and could lose the response.
     Lingering,
 }
 
-/// What a turn at a connection led to.
+/// The result of handling a readiness event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turn {
-    /// Whether its call asked the broker's loop for something, which holds even where the caller has left.
+pub struct Progress {
+    /// Whether a request changed state that the broker's event loop has to act on; also set if its client has
+    /// disconnected.
     pub requests_change: bool,
-    /// Whether it is over.
-    pub is_over: bool,
+    /// Whether the connection is finished and is to be closed.
+    pub is_finished: bool,
 }
 
-/// A connection of an operator.
+/// A connection to the control endpoint.
 pub struct Connection {
     stream: TcpStream,
     phase: Phase,
-    since: Instant,
+    phase_since: Instant,
     reader: RequestReader,
     outbox: Outbox,
-    /// Whether its caller has ended its side.
-    ended: bool,
+    /// Whether the client has shut down its write side.
+    input_closed: bool,
 }
 
 impl Connection {
-    /// A connection that was just accepted.
+    /// A newly accepted connection.
     pub fn new(stream: TcpStream, now: Instant) -> Self {
         let (reader, outbox) = (RequestReader::default(), Outbox::default());
-        Connection { stream, phase: Phase::Reading, since: now, reader, outbox, ended: false }
+        Connection { stream, phase: Phase::Reading, phase_since: now, reader, outbox, input_closed: false }
     }
 
     /// The socket.
@@ -64,48 +65,49 @@
         &self.stream
     }
 
-    /// Whether it waits to read.
+    /// Whether to poll the socket for input.
     pub fn wants_read(&self) -> bool {
-        !self.ended
+        !self.input_closed
     }
 
-    /// Whether it waits to write.
+    /// Whether to poll the socket for output.
     pub fn wants_write(&self) -> bool {
         self.phase == Phase::Writing
     }
 
-    /// When it is to be ended, whatever it does.
-    pub fn expires(&self) -> Instant {
+    /// The time at which the connection is closed in any case.
+    pub fn expires_at(&self) -> Instant {
         match self.phase {
-            Phase::Reading => self.since + CALL_TIME,
-            Phase::Writing | Phase::Lingering => self.since + ANSWER_TIME,
+            Phase::Reading => self.phase_since + REQUEST_TIMEOUT,
+            Phase::Writing | Phase::Lingering => self.phase_since + RESPONSE_TIMEOUT,
         }
     }
 
-    /// From when on it may be closed to make room for another. One that has its answer may at once.
+    /// The time from which the connection may be evicted: at once if its response is sent.
     pub fn evictable_from(&self) -> Instant {
         match self.phase {
-            Phase::Reading | Phase::Writing => self.since + EVICTION_GRACE,
-            Phase::Lingering => self.since,
+            Phase::Reading | Phase::Writing => self.phase_since + EVICTION_GRACE,
+            Phase::Lingering => self.phase_since,
         }
     }
 
-    /// Sorts connections by which is closed first to make room for another: those that have their answer, then those
-    /// that stand as they do for longest.
+    /// Order of eviction, lowest first: connections whose response is sent, then those that have been longest
+    /// in their phase.
     pub fn eviction_rank(&self) -> (bool, Instant) {
-        (self.phase != Phase::Lingering, self.since)
+        (self.phase != Phase::Lingering, self.phase_since)
     }
 
-    /// Does what the socket is ready for.
-    pub fn ready(&mut self, now: Instant, operations: &Operations) -> Turn {
+    /// Handles a readiness event of the socket.
+    pub fn on_ready(&mut self, now: Instant, operations: &Operations) -> Progress {
         if self.read().is_err() {
-            return Turn { requests_change: false, is_over: true };
+            return Progress { requests_change: false, is_finished: true };
         }
-        let requests_change = self.take_call(now, operations);
+        let requests_change = self.handle_request(now, operations);
         let written = self.write(now);
-        // A caller that has ended its side may still wait for the answer, but sends no more of its call.
-        let is_over = written.is_err() || (self.ended && self.phase != Phase::Writing);
-        Turn { requests_change, is_over }
+        // A client that has shut down its write side may still read the response, but can't complete a
+        // request.
+        let is_finished = written.is_err() || (self.input_closed && self.phase != Phase::Writing);
+        Progress { requests_change, is_finished }
     }
 
     fn read(&mut self) -> io::Result<()> {
@@ -113,7 +115,7 @@
         for _ in 0..MAX_READS {
             match self.stream.read(&mut buffer) {
                 Ok(0) => {
-                    self.ended = true;
+                    self.input_closed = true;
                     break;
                 }
                 Ok(read) if self.phase == Phase::Reading => self.reader.push(&buffer[..read]),
@@ -126,34 +128,34 @@
         Ok(())
     }
 
-    /// Answers the call, if it is whole. Gives whether it asked the broker's loop for something.
-    fn take_call(&mut self, now: Instant, operations: &Operations) -> bool {
+    /// Handles the request if it is complete. Returns whether the broker's event loop has to act on it.
+    fn handle_request(&mut self, now: Instant, operations: &Operations) -> bool {
         if self.phase != Phase::Reading {
             return false;
         }
-        let call = match self.reader.has_complete_request() {
-            // The rest of it will never come.
-            Ok(false) if self.ended && self.reader.has_input() => Err(HttpError::Malformed),
+        let result = match self.reader.has_complete_request() {
+            // The request is truncated: no further input can arrive.
+            Ok(false) if self.input_closed && self.reader.has_input() => Err(HttpError::Malformed),
             Ok(false) => return false,
-            Ok(true) => self.reader.request().map(|request| calls::answer(&request, operations)),
+            Ok(true) => self.reader.request().map(|request| handlers::handle(&request, operations)),
             Err(error) => Err(error),
         };
-        let answered = call.unwrap_or_else(|error| Answered {
+        let handled = result.unwrap_or_else(|error| Handled {
             response: Response::text(error.status(), error.to_string()),
             requests_change: false,
         });
         self.reader = RequestReader::default();
-        self.outbox.push(answered.response.head(false));
-        self.outbox.push(answered.response.body);
-        (self.phase, self.since) = (Phase::Writing, now);
-        answered.requests_change
+        self.outbox.push(handled.response.head(false));
+        self.outbox.push(handled.response.body);
+        (self.phase, self.phase_since) = (Phase::Writing, now);
+        handled.requests_change
     }
 
     fn write(&mut self, now: Instant) -> io::Result<()> {
         if self.phase != Phase::Writing || !self.outbox.flush(&mut self.stream)? {
             return Ok(());
         }
-        (self.phase, self.since) = (Phase::Lingering, now);
+        (self.phase, self.phase_since) = (Phase::Lingering, now);
         self.stream.shutdown(Shutdown::Write)
     }
 }
--- a/crates/control/src/endpoint.rs
+++ b/crates/control/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoint's thread: it accepts operators' connections and gives each its turn.
+//! The endpoint's listener and thread: accepts connections of operators and serves their requests.
 
 use std::collections::HashMap;
 use std::io;
@@ -13,63 +13,68 @@
 use crate::connection::Connection;
 use crate::operations::Operations;
 
-/// Descriptors that the endpoint uses beside its connections: its listener and its poller with its event and timer.
+/// File descriptors used beside the connections: the listener, and the poller with its event and timer
+/// descriptors.
 const OWN_DESCRIPTORS: usize = 4;
-/// Connections accepted before those that are ready get their turn.
-const MAX_ACCEPTS: usize = 16;
-/// How long the thread waits at the most before it looks for connections whose time is over.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
-/// Pause before the next accept after the system had no descriptor for one.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of connections accepted before ready connections are served.
+const MAX_ACCEPTS_PER_EVENT: usize = 16;
+/// Maximum time between checks for expired connections.
+const MAX_WAIT: Duration = Duration::from_secs(1);
+/// Delay before the next accept after one has failed, usually for want of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-const LISTENER: usize = 0;
+/// Poll key of the listener; connections have higher keys.
+const LISTENER_KEY: usize = 0;
 
-/// Why the endpoint can't be started.
+/// Why the endpoint could not be started.
 #[derive(Debug, Error)]
 pub enum EndpointError {
-    /// Its address can't be bound.
+    /// The address can't be bound.
     #[error(
-        "{address}: {source}: another process may hold the address; name a free one in `control` or $BALANCER_CONTROL"
+        "{address}: {source}; if another process uses the address, set a free one in `control` or $BALANCER_CONTROL"
     )]
     Bind {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The system has no descriptors or threads left for it.
-    #[error("no thread for it: {0}; raise the limits on descriptors (ulimit -n) or threads")]
+    /// The poller or the thread can't be created, usually for want of file descriptors or threads.
+    #[error(
+        "can't start the endpoint's thread: {0}; raise the limit on file descriptors (ulimit -n) or threads"
+    )]
     Thread(io::Error),
 }
 
-/// A running control endpoint. Its thread ends with the process.
+/// A running control endpoint. Its thread runs until the process exits.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
     address: SocketAddr,
 }
 
-/// Where an endpoint listens, and how much it may hold.
+/// Address and limits of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointConfig {
-    /// Where it listens.
+    /// Address to listen on; port 0 lets the operating system choose a port.
     pub address: SocketAddr,
-    /// Connections held at the most; beyond that the one that is missed least makes room.
+    /// Maximum number of open connections; when it is reached, one is evicted for each new connection.
     pub max_connections: usize,
 }
 
 impl EndpointConfig {
-    /// Descriptors that the endpoint uses at the most.
+    /// Maximum number of file descriptors that the endpoint uses.
     pub fn max_descriptors(&self) -> usize {
         self.max_connections + OWN_DESCRIPTORS
     }
 }
 
 impl Endpoint {
-    /// Listens and serves calls from then on. `waker` wakes the broker's loop when a call has asked for a change.
+    /// Binds the address and serves requests on a new thread. `waker` wakes the broker's event loop when a
+    /// request requires it to act.
     ///
     /// # Errors
     ///
-    /// When it can't listen or there is no thread for it.
+    /// When the address can't be bound, or the poller or the thread can't be created.
     pub fn start(
         config: EndpointConfig,
         operations: Arc<Operations>,
@@ -85,7 +90,7 @@
         Ok(Endpoint { address })
     }
 
-    /// Where it listens.
+    /// The bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -99,8 +104,9 @@
     max_connections: usize,
     connections: HashMap<usize, Connection>,
     last_key: usize,
-    /// When to accept again, after there was no room.
-    accepts_at: Option<Instant>,
+    /// When to accept again, if accepting is suspended because no connection can be evicted or an accept
+    /// failed.
+    accept_retry_at: Option<Instant>,
 }
 
 impl Server {
@@ -111,7 +117,7 @@
         waker: Waker,
     ) -> io::Result<Self> {
         let poll = Poll::new()?;
-        poll.add(&listener, LISTENER, true, false)?;
+        poll.add(&listener, LISTENER_KEY, true, false)?;
         Ok(Server {
             listener,
             poll,
@@ -119,53 +125,53 @@
             waker,
             max_connections,
             connections: HashMap::new(),
-            last_key: LISTENER,
-            accepts_at: None,
+            last_key: LISTENER_KEY,
+            accept_retry_at: None,
         })
     }
 
     fn run(mut self) {
         let mut ready = Vec::new();
         loop {
-            let wait = self.next_due(Instant::now());
+            let wait = self.time_to_next_expiry(Instant::now());
             if self.poll.wait(Some(wait), &mut ready).is_err() {
-                // The poller itself has failed: nothing more can be served here, and clients still are.
+                // Without its poller the endpoint can't serve any more; the broker keeps serving its clients.
                 return;
             }
             let now = Instant::now();
-            for report in ready.drain(..) {
-                self.ready(now, report);
+            for event in ready.drain(..) {
+                self.on_ready(now, event);
             }
             self.expire(now);
         }
     }
 
-    /// How long nothing is due.
-    fn next_due(&self, now: Instant) -> Duration {
-        let expiries = self.connections.values().map(Connection::expires);
-        let next = expiries.chain(self.accepts_at).min();
-        next.map_or(LONGEST_WAIT, |at| at.saturating_duration_since(now).min(LONGEST_WAIT))
+    /// Time until the next connection expires or accepting resumes, at most [`MAX_WAIT`].
+    fn time_to_next_expiry(&self, now: Instant) -> Duration {
+        let expiries = self.connections.values().map(Connection::expires_at);
+        let next = expiries.chain(self.accept_retry_at).min();
+        next.map_or(MAX_WAIT, |at| at.saturating_duration_since(now).min(MAX_WAIT))
     }
 
-    fn ready(&mut self, now: Instant, report: Ready) {
-        if report.key == LISTENER {
+    fn on_ready(&mut self, now: Instant, event: Ready) {
+        if event.key == LISTENER_KEY {
             self.accept(now);
         } else {
-            self.serve(now, report.key);
+            self.serve(now, event.key);
         }
     }
 
     fn accept(&mut self, now: Instant) {
-        self.accepts_at = None;
-        for accepted in 0..MAX_ACCEPTS {
+        self.accept_retry_at = None;
+        for accepted in 0..MAX_ACCEPTS_PER_EVENT {
             let is_full = self.connections.len() >= self.max_connections;
-            // Whether another one waits is for the next report to say: nobody has to go for none.
+            // Whether another client is waiting is not known until the next event: don't evict for nothing.
             if is_full && accepted > 0 {
                 break;
             }
-            if is_full && !self.make_room(now) {
-                // Those that wait keep their place in the system's queue until someone may go.
-                self.accepts_at = self.connections.values().map(Connection::evictable_from).min();
+            if is_full && !self.evict(now) {
+                // Waiting clients stay in the listen backlog until a connection may be evicted.
+                self.accept_retry_at = self.connections.values().map(Connection::evictable_from).min();
                 return;
             }
             match self.listener.accept() {
@@ -176,15 +182,16 @@
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if is_transient(&error) => {}
-                // No descriptor is free: reported at once again, this would spin. One that makes room frees one.
+                // Usually no file descriptor is free. Rearming the listener would report it again immediately
+                // and spin; evicting a connection frees a descriptor.
                 Err(_) => {
-                    self.make_room(now);
-                    self.accepts_at = Some(now + ACCEPT_PAUSE);
+                    self.evict(now);
+                    self.accept_retry_at = Some(now + ACCEPT_RETRY_DELAY);
                     return;
                 }
             }
         }
-        let _ = self.poll.rearm(&self.listener, LISTENER, true, false);
+        let _ = self.poll.rearm(&self.listener, LISTENER_KEY, true, false);
     }
 
     fn admit(&mut self, now: Instant, connection: Connection) {
@@ -192,15 +199,17 @@
         let key = self.last_key;
         if self.poll.add(connection.stream(), key, true, false).is_ok() {
             self.connections.insert(key, connection);
-            // A call often comes with its connection: it is answered before anyone has to make room.
+            // The request has often arrived already: serve it before the connection can be evicted.
             self.serve(now, key);
         }
     }
 
-    /// Closes the connection that is missed least, if one may be closed. Gives whether there is room.
-    fn make_room(&mut self, now: Instant) -> bool {
+    /// Closes the connection that is first in the order of eviction, if any may be evicted yet. Returns
+    /// whether one was closed.
+    fn evict(&mut self, now: Instant) -> bool {
         let evictable = self.connections.iter().filter(|(_, connection)| connection.evictable_from() <= now);
-        // Those of one turn are told apart by their keys, which count up.
+        // Connections with the same time are evicted in order of acceptance: keys are assigned in ascending
+        // order.
         let first = evictable.min_by_key(|(key, connection)| (connection.eviction_rank(), **key));
         let Some(key) = first.map(|(key, _)| *key) else { return false };
         self.close(key);
@@ -209,11 +218,11 @@
 
     fn serve(&mut self, now: Instant, key: usize) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
-        let turn = connection.ready(now, &self.operations);
-        if turn.requests_change {
+        let progress = connection.on_ready(now, &self.operations);
+        if progress.requests_change {
             self.waker.wake();
         }
-        if turn.is_over {
+        if progress.is_finished {
             return self.close(key);
         }
         let Some(connection) = self.connections.get(&key) else { return };
@@ -227,11 +236,11 @@
     }
 
     fn expire(&mut self, now: Instant) {
-        if self.accepts_at.is_some_and(|at| at <= now) {
+        if self.accept_retry_at.is_some_and(|at| at <= now) {
             self.accept(now);
         }
         let expired =
-            |(key, connection): (&usize, &Connection)| (connection.expires() <= now).then_some(*key);
+            |(key, connection): (&usize, &Connection)| (connection.expires_at() <= now).then_some(*key);
         for key in self.connections.iter().filter_map(expired).collect::<Vec<_>>() {
             self.close(key);
         }
@@ -244,7 +253,8 @@
     }
 }
 
-/// Whether the caller that was next has left, or the call was interrupted: the one behind it may be accepted.
+/// Whether the next client has disconnected before it was accepted, or the system call was interrupted:
+/// accepting may continue.
 fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted)
 }
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/handlers.rs
@@ -1,4 +1,4 @@
-//! The calls that operators may make, and their answers.
+//! Handlers of the control endpoint's requests.
 
 use badgergauge_net::http::{Request, Response};
 
@@ -9,16 +9,16 @@
 const DRAIN_START: &str = "/ops/drain/start";
 const DRAIN_STOP: &str = "/ops/drain/stop";
 
-/// A call, and whether the broker's loop has to look at what it changed.
-pub struct Answered {
-    /// The answer.
+/// The result of handling a request.
+pub struct Handled {
+    /// The response to send.
     pub response: Response,
-    /// Whether the call asked the loop for something.
+    /// Whether the request changed state that the broker's event loop has to act on.
     pub requests_change: bool,
 }
 
-/// Answers a call.
-pub fn answer(request: &Request<'_>, operations: &Operations) -> Answered {
+/// Handles a request.
+pub fn handle(request: &Request<'_>, operations: &Operations) -> Handled {
     let path = request.target.split('?').next().unwrap_or_default();
     let drain = match (path, request.method) {
         (DRAIN_START, "PUT") => Some(true),
@@ -39,15 +39,15 @@
             "no such call: see /ops/readiness, /ops/stats, /ops/drain/start, /ops/drain/stop",
         ),
     };
-    Answered { response, requests_change: false }
+    Handled { response, requests_change: false }
 }
 
-fn request_drain(operations: &Operations, drain: bool) -> Answered {
+fn request_drain(operations: &Operations, drain: bool) -> Handled {
     if !operations.request_drain(drain) {
-        return Answered { response: Response::text(409, "the process is stopping"), requests_change: false };
+        return Handled { response: Response::text(409, "the process is stopping"), requests_change: false };
     }
     let text = if drain { "draining" } else { "not draining" };
-    Answered { response: Response::text(200, text), requests_change: true }
+    Handled { response: Response::text(200, text), requests_change: true }
 }
 
 fn statistics(operations: &Operations) -> Response {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,12 +1,13 @@
-//! The control endpoint: operators ask a running broker whether it is ready, for its statistics, and to drain.
+//! The control endpoint: an HTTP endpoint where operators ask a running broker for its readiness and its
+//! statistics, and start or stop draining it.
 //!
-//! [`Endpoint`] serves calls on a thread of its own. It shares an [`Operations`] with the broker's loop, which counts in
-//! its [`Statistics`] and reads from it what operators have asked for. Neither side ever waits for the other.
+//! [`Endpoint`] serves requests on its own thread. It shares an [`Operations`] with the broker's event loop,
+//! which updates the [`Statistics`] and reads the operators' requests. Neither side ever blocks on the other.
 #![deny(unsafe_code)]
 
-mod calls;
 mod connection;
 mod endpoint;
+mod handlers;
 mod operations;
 mod statistics;
 
--- a/crates/control/src/operations.rs
+++ b/crates/control/src/operations.rs
@@ -1,10 +1,10 @@
-//! What the control endpoint and the broker's loop share.
+//! State shared by the control endpoint and the broker's event loop.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use crate::statistics::Statistics;
 
-/// State shared between the endpoint's thread and the broker's loop.
+/// State shared by the endpoint's thread and the broker's event loop.
 #[derive(Debug)]
 pub struct Operations {
     ready: AtomicBool,
@@ -14,7 +14,7 @@
 }
 
 impl Operations {
-    /// A broker that is not ready yet and was not asked to drain.
+    /// The state of a broker that is not ready yet and has no drain requested.
     pub fn new(statistics: Statistics) -> Self {
         Operations {
             ready: AtomicBool::new(false),
@@ -24,38 +24,40 @@
         }
     }
 
-    /// What the broker counts.
+    /// The broker's counters and gauges.
     pub fn statistics(&self) -> &Statistics {
         &self.statistics
     }
 
-    /// Whether the process takes clients. A drain counts from the moment of its call, before the loop has seen it.
+    /// Whether the process is ready for clients. False as soon as a drain is requested, even before the event
+    /// loop has seen the request.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::SeqCst) && !self.drain_requested()
     }
 
-    /// Says whether the process takes clients.
+    /// Sets whether the process is ready for clients.
     pub fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::SeqCst);
     }
 
-    /// Whether the process ends for good; drains are refused from then on.
+    /// Whether the process is shutting down; drain requests are refused from then on.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Says that the process ends for good.
+    /// Marks the process as shutting down, and as not ready.
     pub fn set_stopping(&self) {
         self.stopping.store(true, Ordering::SeqCst);
         self.set_ready(false);
     }
 
-    /// Whether operators want the broker drained: their last call counts.
+    /// Whether the last accepted request of an operator was to drain the broker.
     pub fn drain_requested(&self) -> bool {
         self.drain_requested.load(Ordering::SeqCst)
     }
 
-    /// Asks for a drain, or for its end. Gives whether the request is accepted: a process that ends refuses it.
+    /// Requests that draining starts (`true`) or stops (`false`). Returns whether the request is accepted; a
+    /// process that is shutting down refuses it.
     pub fn request_drain(&self, drain: bool) -> bool {
         if self.is_stopping() {
             return false;
--- a/crates/control/src/statistics.rs
+++ b/crates/control/src/statistics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of a broker, and their form on the control endpoint.
+//! A broker's counters and gauges, and their text format on the control endpoint.
 
 use std::fmt::Write;
 use std::sync::atomic::AtomicU64;
@@ -6,18 +6,18 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 
-/// How a request ended, as its client sees it.
+/// The outcome of a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It was served.
     Fulfilled,
-    /// It was refused: trying again is harmless.
+    /// It was refused; a retry is safe.
     Throttled,
     /// It failed.
     Faulted,
 }
 
-/// Requests of one class that have ended, by outcome.
+/// Number of completed requests of one class, by outcome.
 #[derive(Debug)]
 struct ClassCounters {
     class: String,
@@ -26,7 +26,7 @@
     faulted: Counter,
 }
 
-/// What a broker counts over its process's life. All counters start at 0 and never fall.
+/// A broker's counters and gauges. Counters start at 0 when the process starts and never decrease.
 #[derive(Debug)]
 pub struct Statistics {
     classes: Vec<ClassCounters>,
@@ -37,7 +37,7 @@
 }
 
 impl Statistics {
-    /// Counters at 0 for classes of these names, in this order.
+    /// Statistics at zero for the classes with these names, in the order of their indexes.
     pub fn new(classes: &[String]) -> Self {
         let counters = |class: &String| ClassCounters {
             class: class.clone(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Counts a request of a class, by the class's index, that has ended.
+    /// Counts a completed request of the class with this index; does nothing for an unknown index.
     pub fn request_ended(&self, class: usize, outcome: Outcome) {
         let Some(counters) = self.classes.get(class) else { return };
         let counter = match outcome {
@@ -65,27 +65,28 @@
         counter.inc();
     }
 
-    /// Counts attempts that were written whole to tile servers.
+    /// Adds to the number of attempts that were completely written to tile servers.
     pub fn attempts_relayed(&self, attempts: u64) {
         self.relayed.inc_by(attempts);
     }
 
-    /// Sets the number of requests that were taken and have not ended.
+    /// Sets the number of requests that are accepted and not yet completed.
     pub fn set_open_requests(&self, requests: usize) {
         self.open_requests.set(requests as u64);
     }
 
-    /// Sets the number of tile servers listed, and of those among them that get no ordinary work now.
+    /// Sets the number of tile servers in the registry, and of those among them that receive no regular
+    /// traffic at present.
     pub fn set_servers(&self, listed: usize, avoided: usize) {
         self.registry_entries.set(listed as u64);
         self.out_of_rotation.set(avoided as u64);
     }
 
-    /// All figures, one `balancer.NAME=VALUE` a line.
+    /// All values, one `balancer.NAME=VALUE` per line.
     pub fn to_text(&self) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64| {
-            // Writing to a string never fails.
+            // Writing to a `String` can't fail.
             let _ = writeln!(text, "balancer.{name}={value}");
         };
         for counters in &self.classes {
--- a/crates/control/tests/endpoint.rs
+++ b/crates/control/tests/endpoint.rs
@@ -1,4 +1,5 @@
-//! The endpoint on a port that the system picks: its calls, and callers that hold connections or leave early.
+//! Tests of the endpoint over loopback connections: its requests, and clients that are idle, slow or
+//! disconnect early.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -9,22 +10,22 @@
 use badgergauge_control::{Endpoint, EndpointConfig, Operations, Outcome, Statistics};
 use badgergauge_poll::Poll;
 
-/// Every answer comes within this time, whatever other callers do.
-const ANSWER_TIME: Duration = Duration::from_secs(1);
-/// Long after anything that works has happened.
-const HANGS: Duration = Duration::from_secs(20);
+/// Upper bound for a response, whatever other clients do.
+const MAX_RESPONSE_TIME: Duration = Duration::from_secs(1);
+/// Timeout of a test's own waits, far longer than any correct behaviour takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_CONNECTIONS: usize = 128;
-/// Callers keep their place so long where all are taken.
+/// The endpoint's grace period before it evicts a connection that has no response yet.
 const EVICTION_GRACE: Duration = Duration::from_millis(40);
 
-/// A running endpoint, what it shares with the broker's loop, and that loop's poller.
+/// A running endpoint, the state it shares with the broker's event loop, and that loop's poller.
 struct Fixture {
     address: SocketAddr,
     operations: Arc<Operations>,
     poll: Poll,
 }
 
-fn endpoint_for(max_connections: usize) -> Fixture {
+fn endpoint_with(max_connections: usize) -> Fixture {
     let classes = ["alpha".to_owned(), "beta".to_owned()];
     let operations = Arc::new(Operations::new(Statistics::new(&classes)));
     let poll = Poll::new().expect("a poller");
@@ -34,7 +35,7 @@
 }
 
 fn endpoint() -> Fixture {
-    endpoint_for(MAX_CONNECTIONS)
+    endpoint_with(MAX_CONNECTIONS)
 }
 
 impl Fixture {
@@ -42,84 +43,84 @@
         connect(self.address)
     }
 
-    fn exchange(&self, call: &str) -> String {
-        exchange(self.address, call)
+    fn exchange(&self, request: &str) -> String {
+        exchange(self.address, request)
     }
 
-    fn call(&self, method: &str, path: &str) -> (u16, String) {
-        call(self.address, method, path)
+    fn request(&self, method: &str, path: &str) -> (u16, String) {
+        request(self.address, method, path)
     }
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("listens");
-    stream.set_read_timeout(Some(HANGS)).expect("set");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     stream.set_nodelay(true).expect("set");
     stream
 }
 
-/// Writes a call and reads all that comes until the connection ends.
-fn exchange(address: SocketAddr, call: &str) -> String {
+/// Sends a request and reads until the connection is closed.
+fn exchange(address: SocketAddr, request: &str) -> String {
     let mut stream = connect(address);
-    stream.write_all(call.as_bytes()).expect("written");
+    stream.write_all(request.as_bytes()).expect("written");
     read_to_end(stream)
 }
 
-/// The status and the body of the answer to a call.
-fn call(address: SocketAddr, method: &str, path: &str) -> (u16, String) {
-    let answer = exchange(address, &format!("{method} {path} HTTP/1.1\r\nHost: control\r\n\r\n"));
-    let body = answer.split_once("\r\n\r\n").expect("a head").1.to_owned();
-    (status(&answer), body)
+/// Sends a request without a body; returns the response's status and body.
+fn request(address: SocketAddr, method: &str, path: &str) -> (u16, String) {
+    let response = exchange(address, &format!("{method} {path} HTTP/1.1\r\nHost: control\r\n\r\n"));
+    let body = response.split_once("\r\n\r\n").expect("a head").1.to_owned();
+    (status(&response), body)
 }
 
 fn read_to_end(mut stream: TcpStream) -> String {
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer and the connection's end");
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("a response and a clean close");
+    response
 }
 
-fn status(answer: &str) -> u16 {
-    let word = answer.split(' ').nth(1).and_then(|word| word.parse().ok());
-    word.unwrap_or_else(|| panic!("no status: {answer:?}"))
+fn status(response: &str) -> u16 {
+    let code = response.split(' ').nth(1).and_then(|code| code.parse().ok());
+    code.unwrap_or_else(|| panic!("no status: {response:?}"))
 }
 
 #[test]
-fn each_path_answers_its_method_alone() {
+fn each_path_accepts_only_its_method() {
     let fixture = endpoint();
     fixture.operations.set_ready(true);
-    let calls = [
+    let endpoints = [
         ("/ops/readiness", "GET"),
         ("/ops/stats", "GET"),
         ("/ops/drain/start", "PUT"),
         ("/ops/drain/stop", "PUT"),
     ];
-    for (path, allowed) in calls {
-        assert_eq!(fixture.call(allowed, path).0, 200, "{allowed} {path}");
-        assert_eq!(fixture.call(allowed, &format!("{path}?x=1")).0, 200, "{allowed} {path} with a query");
+    for (path, allowed) in endpoints {
+        assert_eq!(fixture.request(allowed, path).0, 200, "{allowed} {path}");
+        assert_eq!(fixture.request(allowed, &format!("{path}?x=1")).0, 200, "{allowed} {path} with a query");
         fixture.operations.request_drain(false);
         for method in ["GET", "PUT", "POST", "DELETE", "HEAD", "PATCH", "OPTIONS"] {
             if method == allowed {
                 continue;
             }
-            let answer = fixture.exchange(&format!("{method} {path} HTTP/1.1\r\n\r\n"));
-            assert_eq!(status(&answer), 405, "{method} {path}");
-            assert!(answer.contains(&format!("\r\nAllow: {allowed}\r\n")), "{answer}");
+            let response = fixture.exchange(&format!("{method} {path} HTTP/1.1\r\n\r\n"));
+            assert_eq!(status(&response), 405, "{method} {path}");
+            assert!(response.contains(&format!("\r\nAllow: {allowed}\r\n")), "{response}");
         }
     }
     for path in ["/", "/ops", "/ops/", "/ops/stats/", "/ops/drain", "/ops/drain/start/now", "/up", "*"] {
         for method in ["GET", "PUT", "POST"] {
-            assert_eq!(fixture.call(method, path).0, 404, "{method} {path}");
+            assert_eq!(fixture.request(method, path).0, 404, "{method} {path}");
         }
     }
-    assert!(!fixture.operations.drain_requested(), "no wrong call asks for anything");
+    assert!(!fixture.operations.drain_requested(), "a rejected request has requested a drain");
 }
 
 #[test]
-fn what_is_no_call_is_refused() {
+fn invalid_requests_are_rejected() {
     let fixture = endpoint();
     let long = "x".repeat(20_000);
     let headers: String = (0..100).map(|number| format!("H{number}: v\r\n")).collect();
-    for (call, expected) in [
+    for (request, expected) in [
         ("no call\r\n\r\n".to_owned(), 400),
         ("GET /ops/stats\r\n\r\n".to_owned(), 400),
         ("GET /ops/stats HTTP/2.0\r\n\r\n".to_owned(), 400),
@@ -135,30 +136,30 @@
         (format!("GET /{long}"), 431),
         (format!("GET /ops/stats HTTP/1.1\r\n{headers}\r\n"), 431),
     ] {
-        let answer = fixture.exchange(&call);
-        assert_eq!(status(&answer), expected, "{:?}", &call[..call.len().min(80)]);
-        assert!(answer.contains("\r\nConnection: close\r\n"), "{answer}");
+        let response = fixture.exchange(&request);
+        assert_eq!(status(&response), expected, "{:?}", &request[..request.len().min(80)]);
+        assert!(response.contains("\r\nConnection: close\r\n"), "{response}");
     }
     assert!(!fixture.operations.drain_requested());
 }
 
 #[test]
-fn a_call_may_be_of_http_1_0_have_a_body_or_come_in_chunks() {
+fn requests_may_use_http_1_0_or_have_a_plain_or_chunked_body() {
     let fixture = endpoint();
-    for call in [
+    for request in [
         "PUT /ops/drain/start HTTP/1.0\r\n\r\n",
         "PUT /ops/drain/start HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello",
         "PUT /ops/drain/start HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
         "\r\n\r\nPUT /ops/drain/start HTTP/1.1\r\n\r\n",
     ] {
-        assert_eq!(status(&fixture.exchange(call)), 200, "{call:?}");
-        assert!(fixture.operations.drain_requested(), "{call:?}");
+        assert_eq!(status(&fixture.exchange(request)), 200, "{request:?}");
+        assert!(fixture.operations.drain_requested(), "{request:?}");
         fixture.operations.request_drain(false);
     }
 }
 
 #[test]
-fn a_call_whose_body_is_not_whole_asks_for_nothing() {
+fn a_request_with_a_truncated_body_has_no_effect() {
     let fixture = endpoint();
     let mut stream = fixture.connect();
     stream.write_all(b"PUT /ops/drain/start HTTP/1.1\r\nContent-Length: 5\r\n\r\nhell").expect("written");
@@ -168,25 +169,26 @@
 }
 
 #[test]
-fn only_the_first_of_several_calls_on_a_connection_counts() {
+fn only_the_first_request_on_a_connection_is_handled() {
     let fixture = endpoint();
     let both = "GET /ops/readiness HTTP/1.1\r\n\r\nPUT /ops/drain/start HTTP/1.1\r\n\r\n";
-    let answer = fixture.exchange(both);
-    assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{answer}");
-    assert_eq!(status(&answer), 503);
+    let response = fixture.exchange(both);
+    assert_eq!(response.matches("HTTP/1.1 ").count(), 1, "{response}");
+    assert_eq!(status(&response), 503);
     assert!(!fixture.operations.drain_requested());
 }
 
-// More lies behind the call than a turn reads: the answer is not lost to a reset.
+// Guards against a response lost to a connection reset: more input follows the request than is read per
+// readiness event, and closing a socket with unread input resets the connection.
 #[test]
-fn bytes_behind_a_call_are_read_away() {
+fn input_after_a_request_is_discarded() {
     let fixture = endpoint();
-    let answer = fixture.exchange(&format!("GET /ops/stats HTTP/1.1\r\n\r\n{}", "x".repeat(100_000)));
-    assert_eq!(status(&answer), 200);
+    let response = fixture.exchange(&format!("GET /ops/stats HTTP/1.1\r\n\r\n{}", "x".repeat(100_000)));
+    assert_eq!(status(&response), 200);
 }
 
 #[test]
-fn a_caller_that_has_ended_its_side_gets_its_answer() {
+fn a_client_that_has_shut_down_its_write_side_gets_its_response() {
     let fixture = endpoint();
     let mut stream = fixture.connect();
     stream.write_all(b"GET /ops/stats HTTP/1.1\r\n\r\n").expect("written");
@@ -194,38 +196,38 @@
     assert_eq!(status(&read_to_end(stream)), 200);
 }
 
-// The loop would otherwise learn of the drain by chance, with its next event.
+// Guards against a drain request that is not noticed until the event loop's next unrelated event.
 #[test]
-fn the_loop_is_woken_for_a_drain_whose_caller_has_ended_its_side() {
+fn a_drain_request_wakes_the_event_loop_even_if_its_client_has_shut_down_its_write_side() {
     let mut fixture = endpoint();
     let mut stream = fixture.connect();
     stream.write_all(b"PUT /ops/drain/start HTTP/1.1\r\n\r\n").expect("written");
     stream.shutdown(Shutdown::Write).expect("open");
-    let begun = Instant::now();
-    fixture.poll.wait(Some(HANGS), &mut Vec::new()).expect("waits");
-    assert!(begun.elapsed() < HANGS, "nothing has woken it");
+    let started = Instant::now();
+    fixture.poll.wait(Some(TEST_TIMEOUT), &mut Vec::new()).expect("waits");
+    assert!(started.elapsed() < TEST_TIMEOUT, "the event loop was not woken");
     assert!(fixture.operations.drain_requested());
     assert_eq!(status(&read_to_end(stream)), 200);
 }
 
 #[test]
-fn drains_are_idempotent_and_refused_by_a_process_that_stops() {
+fn drain_requests_are_idempotent_and_refused_during_shutdown() {
     let fixture = endpoint();
     fixture.operations.set_ready(true);
     for _ in 0..2 {
-        assert_eq!(fixture.call("PUT", "/ops/drain/start").0, 200);
+        assert_eq!(fixture.request("PUT", "/ops/drain/start").0, 200);
         assert!(fixture.operations.drain_requested());
-        // From the answer on, before the loop has seen it.
-        assert_eq!(fixture.call("GET", "/ops/readiness").0, 503);
+        // Effective from the response on, before the event loop has seen the request.
+        assert_eq!(fixture.request("GET", "/ops/readiness").0, 503);
     }
     for _ in 0..2 {
-        assert_eq!(fixture.call("PUT", "/ops/drain/stop").0, 200);
+        assert_eq!(fixture.request("PUT", "/ops/drain/stop").0, 200);
         assert!(!fixture.operations.drain_requested());
-        assert_eq!(fixture.call("GET", "/ops/readiness").0, 200);
+        assert_eq!(fixture.request("GET", "/ops/readiness").0, 200);
     }
     fixture.operations.set_stopping();
-    assert_eq!(fixture.call("GET", "/ops/readiness").0, 503);
-    assert_eq!(fixture.call("PUT", "/ops/drain/start").0, 409);
+    assert_eq!(fixture.request("GET", "/ops/readiness").0, 503);
+    assert_eq!(fixture.request("PUT", "/ops/drain/start").0, 409);
     assert!(!fixture.operations.drain_requested());
 }
 
@@ -236,7 +238,7 @@
         balancer.operations.alpha.faulted=0\nbalancer.operations.beta.fulfilled=0\n\
         balancer.operations.beta.throttled=0\nbalancer.operations.beta.faulted=0\nbalancer.relayed=0\n\
         balancer.open_requests=0\nbalancer.registry_entries=0\nbalancer.out_of_rotation=0\n";
-    assert_eq!(fixture.call("GET", "/ops/stats"), (200, zeros.to_owned()));
+    assert_eq!(fixture.request("GET", "/ops/stats"), (200, zeros.to_owned()));
     let statistics = fixture.operations.statistics();
     for (class, outcome) in [
         (0, Outcome::Fulfilled),
@@ -251,85 +253,88 @@
     statistics.attempts_relayed(4);
     statistics.set_open_requests(9);
     statistics.set_servers(8, 2);
-    let counted = "balancer.operations.alpha.fulfilled=1\nbalancer.operations.alpha.throttled=0\n\
+    let expected = "balancer.operations.alpha.fulfilled=1\nbalancer.operations.alpha.throttled=0\n\
         balancer.operations.alpha.faulted=0\nbalancer.operations.beta.fulfilled=0\n\
         balancer.operations.beta.throttled=2\nbalancer.operations.beta.faulted=1\nbalancer.relayed=7\n\
         balancer.open_requests=9\nbalancer.registry_entries=8\nbalancer.out_of_rotation=2\n";
-    assert_eq!(fixture.call("GET", "/ops/stats"), (200, counted.to_owned()));
+    assert_eq!(fixture.request("GET", "/ops/stats"), (200, expected.to_owned()));
 }
 
-// Each byte-at-a-time caller sends one byte of a call, without a pause, for as long as the whole calls beside it take.
+// Guards against idle and slow clients that occupy all connections. The slow clients send their requests one
+// byte at a time, without pauses, for as long as the test makes complete requests.
 #[test]
-fn whole_calls_are_answered_beside_silent_and_slow_callers() {
+fn complete_requests_are_served_beside_idle_and_slow_clients() {
     let fixture = endpoint();
-    let silent: Vec<TcpStream> = (0..100).map(|_| fixture.connect()).collect();
+    let idle: Vec<TcpStream> = (0..100).map(|_| fixture.connect()).collect();
     let mut slow: Vec<TcpStream> = (0..100).map(|_| fixture.connect()).collect();
-    let call = "GET /ops/stats HTTP/1.1\r\nX-Long: ".to_owned() + &"x".repeat(30);
-    for byte in call.as_bytes() {
+    let request = "GET /ops/stats HTTP/1.1\r\nX-Long: ".to_owned() + &"x".repeat(30);
+    for byte in request.as_bytes() {
         for stream in &mut slow {
-            // One that had to make room meets the end of its connection.
+            // Fails on a connection that was evicted.
             let _ = stream.write_all(&[*byte]);
         }
-        let begun = Instant::now();
-        assert_eq!(fixture.call("GET", "/ops/readiness").0, 503);
-        assert!(begun.elapsed() < ANSWER_TIME, "after {:?}", begun.elapsed());
+        let started = Instant::now();
+        assert_eq!(fixture.request("GET", "/ops/readiness").0, 503);
+        assert!(started.elapsed() < MAX_RESPONSE_TIME, "after {:?}", started.elapsed());
     }
-    drop(silent);
+    drop(idle);
 }
 
-// More of them than there are places, all connected before the first calls.
+// More simultaneous clients than connections: with a limit of 4, most of them have to wait in the listen
+// backlog.
 #[test]
-fn many_calls_at_once_are_all_answered() {
+fn simultaneous_requests_are_all_served() {
     for max_connections in [4, MAX_CONNECTIONS] {
-        let address = endpoint_for(max_connections).address;
-        let begun = Instant::now();
-        let answers: Vec<(u16, Duration)> = thread::scope(|scope| {
-            let calls = (0..100).map(|_| {
+        let address = endpoint_with(max_connections).address;
+        let started = Instant::now();
+        let responses: Vec<(u16, Duration)> = thread::scope(|scope| {
+            let clients = (0..100).map(|_| {
                 scope.spawn(move || {
-                    let (status, _) = call(address, "GET", "/ops/stats");
-                    (status, begun.elapsed())
+                    let (status, _) = request(address, "GET", "/ops/stats");
+                    (status, started.elapsed())
                 })
             });
-            let calls: Vec<_> = calls.collect();
-            calls.into_iter().map(|call| call.join().expect("answered")).collect()
+            let clients: Vec<_> = clients.collect();
+            clients.into_iter().map(|client| client.join().expect("served")).collect()
         });
-        let late = answers.iter().filter(|(status, after)| *status != 200 || *after >= ANSWER_TIME);
-        assert_eq!(late.count(), 0, "{answers:?}");
+        let failures =
+            responses.iter().filter(|(status, after)| *status != 200 || *after >= MAX_RESPONSE_TIME);
+        assert_eq!(failures.count(), 0, "{responses:?}");
     }
 }
 
 #[test]
-fn callers_that_connect_together_and_call_later_all_keep_their_place() {
+fn simultaneous_connections_that_send_later_are_not_evicted() {
     let fixture = endpoint();
-    let mut callers: Vec<TcpStream> = (0..100).map(|_| fixture.connect()).collect();
-    // All of them are accepted once a later one has its answer.
-    assert_eq!(fixture.call("GET", "/ops/stats").0, 200);
-    for stream in &mut callers {
+    let mut clients: Vec<TcpStream> = (0..100).map(|_| fixture.connect()).collect();
+    // A later client's response shows that all of them are accepted.
+    assert_eq!(fixture.request("GET", "/ops/stats").0, 200);
+    for stream in &mut clients {
         stream.write_all(b"GET /ops/stats HTTP/1.1\r\n\r\n").expect("written");
     }
-    for stream in callers {
+    for stream in clients {
         assert_eq!(status(&read_to_end(stream)), 200);
     }
 }
 
 #[test]
-fn the_caller_that_waits_longest_makes_room() {
-    let fixture = endpoint_for(2);
-    let begun = Instant::now();
+fn the_connection_that_has_waited_longest_is_evicted() {
+    let fixture = endpoint_with(2);
+    let started = Instant::now();
     let first = fixture.connect();
     let mut second = fixture.connect();
     second.write_all(b"GET /ops/").expect("written");
-    assert_eq!(fixture.call("GET", "/ops/stats").0, 200);
-    assert!(begun.elapsed() >= EVICTION_GRACE, "the first had no time to call: {:?}", begun.elapsed());
-    assert!(begun.elapsed() < ANSWER_TIME, "after {:?}", begun.elapsed());
-    assert_eq!(read_to_end(first), "", "it has made room");
+    assert_eq!(fixture.request("GET", "/ops/stats").0, 200);
+    assert!(started.elapsed() >= EVICTION_GRACE, "evicted before the grace period: {:?}", started.elapsed());
+    assert!(started.elapsed() < MAX_RESPONSE_TIME, "after {:?}", started.elapsed());
+    assert_eq!(read_to_end(first), "", "the first connection was not evicted");
     second.write_all(b"stats HTTP/1.1\r\n\r\n").expect("written");
-    assert_eq!(status(&read_to_end(second)), 200, "it had not to");
+    assert_eq!(status(&read_to_end(second)), 200, "the second connection was evicted");
 }
 
 #[test]
-fn a_caller_that_never_reads_its_answer_holds_nobody_up() {
-    let fixture = endpoint_for(4);
+fn clients_that_never_read_their_responses_do_not_delay_others() {
+    let fixture = endpoint_with(4);
     let unread: Vec<TcpStream> = (0..50)
         .map(|_| {
             let mut stream = fixture.connect();
@@ -337,17 +342,17 @@
             stream
         })
         .collect();
-    let begun = Instant::now();
-    assert_eq!(fixture.call("GET", "/ops/stats").0, 200);
-    assert!(begun.elapsed() < ANSWER_TIME, "after {:?}", begun.elapsed());
+    let started = Instant::now();
+    assert_eq!(fixture.request("GET", "/ops/stats").0, 200);
+    assert!(started.elapsed() < MAX_RESPONSE_TIME, "after {:?}", started.elapsed());
     drop(unread);
 }
 
 #[test]
-fn an_address_in_use_is_refused_with_what_to_do() {
+fn an_address_in_use_gives_an_error_that_names_the_setting() {
     let fixture = endpoint();
     let config = EndpointConfig { address: fixture.address, max_connections: 1 };
-    let refused = Endpoint::start(config, fixture.operations.clone(), fixture.poll.waker());
-    let fault = refused.expect_err("the address is taken").to_string();
-    assert!(fault.contains(&fixture.address.to_string()) && fault.contains("BALANCER_CONTROL"), "{fault}");
+    let result = Endpoint::start(config, fixture.operations.clone(), fixture.poll.waker());
+    let error = result.expect_err("the address is in use").to_string();
+    assert!(error.contains(&fixture.address.to_string()) && error.contains("BALANCER_CONTROL"), "{error}");
 }
--- a/src/bin/badgergauge-adapter/main.rs
+++ b/src/bin/badgergauge-adapter/main.rs
@@ -1,5 +1,5 @@
-//! Adapter for the simulator: reads batches of events from standard input, one JSON object per line, and writes the
-//! actions of each batch to standard output. Each simulated instance is a [`badgergauge::Router`].
+//! Adapter for the simulator: reads batches of events from standard input, one JSON object per line, and
+//! writes the actions of each batch to standard output. Each simulated instance is a [`badgergauge::Router`].
 
 mod wire;
 
--- a/src/bin/badgergauge-adapter/wire.rs
+++ b/src/bin/badgergauge-adapter/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's protocol: decodes settings and events, passes them to the routers and encodes their actions. All
-//! decisions are made by the routers.
+//! The simulator's protocol: decodes settings and events, passes them to the routers and encodes their
+//! actions. All decisions are made by the routers.
 
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -16,7 +16,8 @@
 /// An error message for standard error or, for a single instance, for the simulator.
 type ErrorText = String;
 
-/// All router instances of this process. They share only the numbered server lists that the simulator defines.
+/// All router instances of this process. They share only the numbered server lists that the simulator
+/// defines.
 #[derive(Default)]
 pub struct Instances {
     routers: BTreeMap<u64, Router>,
@@ -76,7 +77,8 @@
         Ok(json!({ "actions": replies }).to_string())
     }
 
-    /// Creates the router of an `init` message. The inner error is reported to the simulator for this instance only.
+    /// Creates the router of an `init` message. The inner error is reported to the simulator for this
+    /// instance only.
     fn start_router(&self, message: &Message) -> Result<Result<Router, ErrorText>, ErrorText> {
         let seed = message.get_u64(2, "rngSeed")?;
         let settings = message.0.get(3).ok_or("init: no facts")?;
@@ -124,7 +126,8 @@
     u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// A message, or an entry of a server list: a JSON array of positional members. A message's first member is its name.
+/// A message, or an entry of a server list: a JSON array of positional members. A message's first member is
+/// its name.
 struct Message(Vec<Value>);
 
 impl Message {
--- a/src/bin/badgergauge/demo.rs
+++ b/src/bin/badgergauge/demo.rs
@@ -1,5 +1,5 @@
-//! `badgergauge demo`: simulated tile servers and a broker in one process, on loopback ports that the operating
-//! system assigns.
+//! `badgergauge demo`: simulated tile servers and a broker in one process, on loopback ports that the
+//! operating system assigns.
 
 use std::path::{Path, PathBuf};
 use std::{fs, io, thread};
@@ -82,8 +82,8 @@
     broker.run().map_err(message)
 }
 
-/// Writes the configuration, the inventory and the OGC front's configuration to `dir`; returns the path of the
-/// configuration.
+/// Writes the configuration, the inventory and the OGC front's configuration to `dir`; returns the path of
+/// the configuration.
 fn write_config(dir: &Path, servers: &[TileServer]) -> io::Result<PathBuf> {
     let class = |name: &str, effect: &str, credit: f64| {
         json!({"name": name, "effect": effect, "credit": credit, "lateShare": 0.3,
--- a/src/bin/badgergauge/fleet.rs
+++ b/src/bin/badgergauge/fleet.rs
@@ -21,7 +21,8 @@
     /// Validates a scenario: reports every error in it, or prints its schedule.
     #[command(after_help = "Example:\n  badgergauge fleet check scenarios/herd.yaml")]
     Check(Check),
-    /// Runs randomly generated scenarios, one per seed, and prints one line for each: its events and the broken rules.
+    /// Runs randomly generated scenarios, one per seed, and prints one line for each: its events and the
+    /// broken rules.
     #[command(after_help = "Example:\n  badgergauge fleet soak --first 1 --seeds 50 --out soak")]
     Soak(Soak),
     /// Prints the per-second figures of a run, and optionally plots them.
@@ -49,7 +50,8 @@
     /// Override of a setting of the brokers, such as `/limits/maxOpen=100`.
     #[arg(long, value_name = "PATH=JSON")]
     set: Vec<String>,
-    /// Let the brokers record their decisions and the reasons in trace files in `--out`; see `badgergauge trace`.
+    /// Let the brokers record their decisions and the reasons in trace files in `--out`; see `badgergauge
+    /// trace`.
     #[arg(long)]
     trace: bool,
 }
--- a/src/bin/badgergauge/main.rs
+++ b/src/bin/badgergauge/main.rs
@@ -23,7 +23,8 @@
 
 /// A broker for sharded queries, and its tools.
 ///
-/// Without a command it runs the broker, configured by the environment variables and files listed in the README.
+/// Without a command it runs the broker, configured by the environment variables and files listed in the
+/// README.
 #[derive(Parser)]
 #[command(
     version,
@@ -41,7 +42,8 @@
     #[command(after_help = "Example:\n  BALANCER_NAME=n0 BALANCER_LISTEN=127.0.0.1:9000 \
         BALANCER_DISCOVERY=127.0.0.1:8500 \\\n    BALANCER_CONFIG=config.json badgergauge serve")]
     Serve,
-    /// Validates the configuration that the broker would start with; reports every error with its file, line and key.
+    /// Validates the configuration that the broker would start with; reports every error with its file, line
+    /// and key.
     #[command(after_help = "Example:\n  BALANCER_CONFIG=config.json BALANCER_SERVICE=service.yaml \
         badgergauge check")]
     Check,
--- a/src/bin/badgergauge/store.rs
+++ b/src/bin/badgergauge/store.rs
@@ -17,7 +17,8 @@
     /// Shows which broker the store belongs to, and a summary of its contents.
     #[command(after_help = "Example:\n  badgergauge store info /var/lib/badgergauge/state")]
     Info(StorePath),
-    /// Reads all records, and shows which of them the broker would restore with its present configuration, and why.
+    /// Reads all records, and shows which of them the broker would restore with its present configuration,
+    /// and why.
     #[command(after_help = "Example:\n  BALANCER_CONFIG=config.json badgergauge store check \
         /var/lib/badgergauge/state")]
     Check(StorePath),
