--- a/tests/program/mod.rs
+++ b/tests/program/mod.rs
@@ -1,5 +1,5 @@
-//! The built program as a process, for the tests that start it: the recorded exchanges' configuration with
-//! servers that are known, its start up to the line that names where it listens, and one exchange over HTTP.
+//! Helpers for tests that run the built program as a process: its configuration, its start up to the log line
+//! with its address, and an HTTP exchange.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,20 +9,20 @@
 
 use serde_json::{Value, json};
 
-/// The recorded exchanges' configuration, with server `s{cell}` of cell `cell` known at the address of that
-/// place in the list.
+/// The configuration of the recorded exchanges, with one known server per address: server `s{cell}` of cell
+/// `cell` at `addresses[cell]`.
 pub fn config(addresses: &[String]) -> Value {
     let mut config: Value = serde_json::from_str(include_str!("../exchanges/config.json")).expect("JSON");
     for (cell, address) in addresses.iter().enumerate() {
-        let line = json!({"name": format!("s{cell}"), "address": address, "zone": "z", "group": cell,
+        let entry = json!({"name": format!("s{cell}"), "address": address, "zone": "z", "group": cell,
             "status": "up", "since_ms": 0});
-        config["known"]["endpoints"].as_array_mut().expect("a list").push(line);
+        config["known"]["endpoints"].as_array_mut().expect("a list").push(entry);
     }
     config
 }
 
-/// The broker with this configuration file, listening at a port that the system picks. Nobody listens at
-/// its discovery: the list is the known one.
+/// The command that runs the broker with this configuration file on a port that the operating system assigns.
+/// Its discovery address refuses connections, so that it uses the configured list of known servers.
 pub fn broker(config: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgergauge"));
     command
@@ -32,8 +32,8 @@
     command
 }
 
-/// Starts it and reads its log up to the line that says where it listens. Gives the process, that address,
-/// and the log's further lines, which have to be read for it not to stop.
+/// Starts the broker and reads its log up to the line with its address. Returns the process, the address and
+/// the rest of the log, which the caller must keep reading: a full pipe stops the log.
 pub fn listening(mut command: Command) -> (Child, String, impl Iterator<Item = String> + Send + 'static) {
     let mut program = command.stderr(Stdio::piped()).spawn().expect("starts");
     let mut lines = BufReader::new(program.stderr.take().expect("piped")).lines().map_while(Result::ok);
@@ -42,11 +42,11 @@
     (program, address, lines)
 }
 
-/// Writes one request whole and gives all that comes until the connection ends.
+/// Sends a request and returns everything received until the connection is closed.
 pub fn exchange(address: &str, request: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("listens");
     stream.write_all(request.as_bytes()).expect("written");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("a response");
+    response
 }
