--- a/benches/support/mod.rs
+++ b/benches/support/mod.rs
@@ -62,7 +62,7 @@
             .env("BALANCER_LISTEN", "127.0.0.1:0")
             .env("BALANCER_DISCOVERY", "127.0.0.1:1")
             .stdout(Stdio::null());
-        let (process, address, log) = program::listening(command);
+        let (process, address, log) = program::start_broker(command);
         thread::spawn(move || log.for_each(drop));
         Broker { process, address }
     }
--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -50,7 +50,7 @@
     if agent_answers {
         sender.send(()).expect("the agent runs");
     }
-    let mut command = program::broker(&file);
+    let mut command = program::broker_command(&file);
     command.env("BALANCER_DISCOVERY", agent.to_string()).stderr(std::process::Stdio::piped());
     let started = Instant::now();
     let mut child = command.spawn().expect("starts");
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -36,7 +36,7 @@
     config["settings"]["balancers"] = 10.into();
     config["settings"]["limits"]["peers"] = true.into();
     std::fs::write(&file, config.to_string()).expect("written");
-    let (child, address, lines) = program::listening(program::broker(&file));
+    let (child, address, lines) = program::start_broker(program::broker_command(&file));
     std::thread::spawn(move || lines.for_each(drop));
     (Program(child, file), address)
 }
--- a/tests/program/mod.rs
+++ b/tests/program/mod.rs
@@ -23,7 +23,7 @@
 
 /// The command that runs the broker with this configuration file on a port that the operating system assigns.
 /// Its discovery address refuses connections, so that it uses the configured list of known servers.
-pub fn broker(config: &Path) -> Command {
+pub fn broker_command(config: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgergauge"));
     command
         .env("BALANCER_CONFIG", config)
@@ -34,7 +34,7 @@
 
 /// Starts the broker and reads its log up to the line with its address. Returns the process, the address and
 /// the rest of the log, which the caller must keep reading: a full pipe stops the log.
-pub fn listening(mut command: Command) -> (Child, String, impl Iterator<Item = String> + Send + 'static) {
+pub fn start_broker(mut command: Command) -> (Child, String, impl Iterator<Item = String> + Send + 'static) {
     let mut program = command.stderr(Stdio::piped()).spawn().expect("starts");
     let mut lines = BufReader::new(program.stderr.take().expect("piped")).lines().map_while(Result::ok);
     let line = lines.by_ref().find(|line| line.contains(" listens ")).expect("it listens");
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -41,9 +41,9 @@
             service.replace("DIR", &dir.join("t").display().to_string()),
         )
         .expect("written");
-        let mut command = program::broker(&dir.join("config.json"));
+        let mut command = program::broker_command(&dir.join("config.json"));
         command.env("BALANCER_SERVICE", dir.join("service.yaml"));
-        let (program, address, mut lines) = program::listening(command);
+        let (program, address, mut lines) = program::start_broker(command);
         let (sender, log) = std::sync::mpsc::channel();
         std::thread::spawn(move || lines.try_for_each(|line| sender.send(line)));
         Broker { program, address, dir, log }
