--- a/src/broker/clients.rs
+++ b/src/broker/clients.rs
@@ -112,9 +112,9 @@
                     // The earlier client may have disconnected and retried the request on this connection.
                     self.read_client(now, earlier.0 as usize);
                 }
-                let taken = self.core.accept(now, query, ReplyId(key as u64));
+                let accepted = self.core.accept(now, query, ReplyId(key as u64));
                 let Some(client) = self.clients.get_mut(&key) else { return };
-                match taken {
+                match accepted {
                     Ok(id) => {
                         client.start_query(now, id, pending);
                         return;
