--- a/benches/closed_loop/client.rs
+++ b/benches/closed_loop/client.rs
@@ -5,7 +5,7 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-use badgergauge_standin::value;
+use badgergauge_standin::part_value;
 use rand::seq::index::sample;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -162,7 +162,7 @@
         return Err(format!("200, not whole: {pieces} of {PARTS} pieces"));
     }
     let is_right = |shard: &usize| {
-        let expected = value(*shard as u32, STATEMENT.as_bytes());
+        let expected = part_value(*shard as u32, STATEMENT.as_bytes());
         let mut pieces = body["pieces"].as_array().into_iter().flatten();
         pieces.any(|piece| piece["tablet"] == *shard && piece["cell"] == expected.as_str())
     };
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use badgergauge_poll::{Poll, Ready, Waker, connect};
-use badgergauge_standin::ledger::UNSAFE_QUERY;
+use badgergauge_standin::ledger::UNSAFE_QUERY_PREFIX;
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -480,7 +480,7 @@
         let Some(broker) = self.choose(&wish) else { return self.not_taken(wish, None) };
         let class = &self.load.classes[wish.class];
         let query = match class.effect {
-            Effect::Unsafe => format!("{UNSAFE_QUERY}{}", wish.key),
+            Effect::Unsafe => format!("{UNSAFE_QUERY_PREFIX}{}", wish.key),
             Effect::Safe | Effect::Keyed => self.asked.to_string(),
         };
         let id = format!("b{broker}-{query}-{}-{}", wish.tries, self.last);
--- a/crates/fleet/src/load/answer.rs
+++ b/crates/fleet/src/load/answer.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-use badgergauge_standin::value;
+use badgergauge_standin::part_value;
 
 use super::Wish;
 
@@ -36,7 +36,7 @@
         if !wish.shards.contains(&shard) || !shards.insert(shard) {
             return Err(format!("tablet {shard} was not asked, or came twice"));
         }
-        if piece["cell"].as_str() != Some(&value(shard, wish.statement.as_bytes())) {
+        if piece["cell"].as_str() != Some(&part_value(shard, wish.statement.as_bytes())) {
             return Err(format!("the value of tablet {shard} is no server's"));
         }
     }
@@ -95,7 +95,7 @@
 
     fn body(full: bool, pieces: &[(u32, &str)]) -> String {
         let piece = |(shard, text): &(u32, &str)| {
-            format!("{{\"tablet\":{shard},\"cell\":\"{}\"}}", value(*shard, text.as_bytes()))
+            format!("{{\"tablet\":{shard},\"cell\":\"{}\"}}", part_value(*shard, text.as_bytes()))
         };
         let pieces: Vec<String> = pieces.iter().map(piece).collect();
         format!("{{\"full\":{full},\"pieces\":[{}]}}", pieces.join(","))
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgergauge_standin::ledger::{Breach, Ledger, Rule};
+use badgergauge_standin::ledger::{Ledger, Rule, Violation};
 use serde::{Deserialize, Serialize};
 
 use crate::load::{Fates, Refusal, Seen};
@@ -232,7 +232,7 @@
     /// Brokers that ended by themselves or did not start: when and what.
     pub crashed: Vec<(Duration, String)>,
     /// Rules that the runner saw broken.
-    pub broken: Vec<Breach>,
+    pub broken: Vec<Violation>,
     /// Upgrades.
     pub upgrades: Vec<Upgrade>,
     /// Drains.
@@ -268,7 +268,7 @@
 
 /// Requests that brokers refused from their first upgrade or drain on. Those that the schedule also kills or
 /// restarts may refuse some.
-fn refusals(seen: &Seen, schedule: &Schedule, offset: Duration) -> Vec<Breach> {
+fn refusals(seen: &Seen, schedule: &Schedule, offset: Duration) -> Vec<Violation> {
     let seamless_from = |broker: usize| {
         let ends = |act: &Act| matches!(act, Act::Kill(b) | Act::Restart(b) if *b == broker);
         let seamless = |act: &Act| matches!(act, Act::Upgrade(b) | Act::StartDrain(b) if *b == broker);
@@ -281,7 +281,7 @@
             Some(status) => format!("answered {status}"),
             None => "did not take a connection or request".to_owned(),
         };
-        Breach { at: refusal.at, rule: Rule::Refused, what: format!("b{} {how}", refusal.broker) }
+        Violation { at: refusal.at, rule: Rule::Refused, details: format!("b{} {how}", refusal.broker) }
     };
     let refused = seen.refused.iter();
     let refused =
@@ -298,7 +298,7 @@
     schedule: &Schedule,
     offset: Duration,
     rough: &[(Duration, Duration)],
-) -> Vec<Breach> {
+) -> Vec<Violation> {
     let excused: Vec<Vec<(Duration, Duration)>> =
         (0..=seen.unanswered.iter().map(|lost| lost.broker).max().unwrap_or(0))
             .map(|broker| schedule.excused(broker))
@@ -310,7 +310,7 @@
         .map(|(at, _)| *at + offset)
         .collect();
     let mut found = Vec::new();
-    for breach in &ledger.breaches {
+    for breach in &ledger.violations {
         // A process that is killed can't end its frames, and a network that resets cuts them.
         let after = |from: Duration, until: Duration| breach.at >= from && breach.at <= until + CUT_AFTER;
         let explained = breach.rule == Rule::CutFrame
@@ -332,7 +332,7 @@
         let how = if lost.closed { "its connection was closed" } else { "nothing came" };
         let took = lost.ended.saturating_sub(lost.sent).as_millis();
         let what = format!("{} had no answer: {how} after {took} ms", lost.id);
-        let breach = Breach { at: lost.ended, rule: Rule::NoAnswer, what };
+        let breach = Violation { at: lost.ended, rule: Rule::NoAnswer, details: what };
         if lost.closed { closed.push(breach) } else { found.push(breach) }
     }
     let offered: u32 = seen.fates.values().map(|fates| fates.offered).sum();
@@ -343,9 +343,13 @@
     found.extend(refusals(seen, schedule, offset));
     found.extend(gathered.broken.iter().cloned());
     let wrong = seen.wrong.iter();
-    found.extend(wrong.map(|(at, what)| Breach { at: *at, rule: Rule::WrongAnswer, what: what.clone() }));
+    found.extend(wrong.map(|(at, what)| Violation {
+        at: *at,
+        rule: Rule::WrongAnswer,
+        details: what.clone(),
+    }));
     let crashed = gathered.crashed.iter();
-    found.extend(crashed.map(|(at, what)| Breach { at: *at, rule: Rule::Crashed, what: what.clone() }));
+    found.extend(crashed.map(|(at, what)| Violation { at: *at, rule: Rule::Crashed, details: what.clone() }));
     found.sort_by_key(|breach| breach.at);
     found
 }
@@ -383,22 +387,22 @@
         };
         rows.insert(*second, row);
     }
-    for ((second, _), cell) in &ledger.cells {
+    for ((second, _), cell) in &ledger.server_counts {
         let row = rows.entry(*second).or_default();
         row.handshakes += cell.handshakes;
         row.handshakes_most = row.handshakes_most.max(cell.handshakes);
-        row.open_most = row.open_most.max(cell.open);
-        row.connections_refused += cell.refused;
+        row.open_most = row.open_most.max(cell.max_open);
+        row.connections_refused += cell.refused_connections;
         row.parts += cell.parts;
-        row.turned_away += cell.turned_away;
+        row.turned_away += cell.rejected;
         row.parts_lost += cell.lost;
         row.cold_work += cell.cold_work;
-        row.strain = row.strain.max(cell.strain);
+        row.strain = row.strain.max(cell.cold_load);
         row.probes += cell.probes;
     }
-    for (second, calls) in &ledger.calls {
+    for (second, calls) in &ledger.list_calls {
         let row = rows.entry(*second).or_default();
-        (row.list_calls, row.list_turned_away) = (calls.came, calls.turned_away);
+        (row.list_calls, row.list_turned_away) = (calls.received, calls.rejected);
     }
     for (second, warnings) in &gathered.warnings {
         rows.entry(*second).or_default().warnings = *warnings;
@@ -473,7 +477,7 @@
         assert_eq!(found(&ledger, &seen(vec![closed.clone(), closed])).len(), 2);
         let mut ledger = Ledger::default();
         for at in [11, 12, 13, 21, 25] {
-            ledger.breach(S * at, Rule::CutFrame, at.to_string());
+            ledger.record_violation(S * at, Rule::CutFrame, at.to_string());
         }
         assert_eq!(
             found(&ledger, &seen(Vec::new())),
@@ -481,7 +485,7 @@
             "those at 13 and 25 s"
         );
         let mut ledger = Ledger::default();
-        ledger.breach(S * 11, Rule::SecondCopy, String::new());
+        ledger.record_violation(S * 11, Rule::SecondCopy, String::new());
         assert_eq!(found(&ledger, &seen(Vec::new())), [Rule::SecondCopy]);
     }
 
@@ -506,7 +510,7 @@
         ];
         let schedule = Schedule { acts, later: Vec::new() };
         let mut gathered = Gathered::default();
-        gathered.broken.push(Breach { at: S * 12, rule: Rule::NotReady, what: String::new() });
+        gathered.broken.push(Violation { at: S * 12, rule: Rule::NotReady, details: String::new() });
         let all = breaches(&Ledger::default(), &seen, &gathered, &schedule, S, &[]);
         let all: Vec<(Rule, Duration)> = all.into_iter().map(|breach| (breach.rule, breach.at)).collect();
         let expected = [
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -352,12 +352,12 @@
             times_ms: [ms(0.5), ms(0.99)],
             lateness_ms: seen.lateness.as_secs_f64() * 1e3,
             attempts_per_part: f64::from(parts) / (f64::from(asked.max(1)) * self.scenario.parts as f64),
-            repeated: ledger.repeated,
+            repeated: ledger.reruns_in_window,
             used: self.brokers.iter().map(used).collect(),
             upgrades: record::upgrades(&self.gathered, self.offset),
             drains: record::drains(&self.gathered, self.offset),
             broken: broken
-                .map(|b| Broken { at: at(b.at), rule: format!("{:?}", b.rule), what: b.what })
+                .map(|b| Broken { at: at(b.at), rule: format!("{:?}", b.rule), what: b.details })
                 .collect(),
             rows,
         };
--- a/crates/fleet/src/run/settings.rs
+++ b/crates/fleet/src/run/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgergauge_standin::ledger;
-use badgergauge_standin::model::Figures;
+use badgergauge_standin::model::ServerParameters;
 use badgergauge_standin::world::{Placed, Setting};
 use serde_json::{Value, json};
 
@@ -68,7 +68,7 @@
         "limits": {"cancel": true, "maxAttempts": 4, "maxOpen": 4000, "maxRetryAfterNs": 2_000_000_000_u64,
             "maxStreams": 100, "mayProbe": false, "retryAfter": true, "secondCopies": false, "peers": true},
         "prices": {"handshake": 0.001, "peer": 0.01},
-        "safety": {"drainGraceNs": ledger::DRAIN.as_nanos() as u64, "coldFrom": scenario.tile.cold_from, "coldNs": scenario.tile.cold_for.as_nanos() as u64,
+        "safety": {"drainGraceNs": ledger::DRAIN_GRACE.as_nanos() as u64, "coldFrom": scenario.tile.cold_from, "coldNs": scenario.tile.cold_for.as_nanos() as u64,
             "fallMultiple": scenario.tile.fall_multiple, "overloadForNs": 1_000_000_000}})
 }
 
@@ -90,16 +90,16 @@
     let later = later.map(|(n, cell)| (scenario.servers + n, *cell, false));
     let placed = first.chain(later).map(|(server, cell, up)| placed(scenario, server, cell, up));
     Setting {
-        figures: Figures {
+        parameters: ServerParameters {
             workers: scenario.tile.workers,
-            service: scenario.tile.service,
-            queue: scenario.tile.queue,
-            connections: scenario.tile.connections,
+            mean_service_time: scenario.tile.service,
+            queue_limit: scenario.tile.queue,
+            max_connections: scenario.tile.connections,
             cold_from: scenario.tile.cold_from,
-            cold_for: scenario.tile.cold_for,
+            warm_up_time: scenario.tile.cold_for,
             fall_multiple: scenario.tile.fall_multiple,
-            window: Duration::from_secs(1),
-            down_for: Duration::from_secs(1),
+            load_window: Duration::from_secs(1),
+            restart_delay: Duration::from_secs(1),
         },
         servers: placed.collect(),
         brokers: scenario.brokers,
--- a/crates/fleet/src/run/upgrade.rs
+++ b/crates/fleet/src/run/upgrade.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-use badgergauge_standin::ledger::{Breach, Rule};
+use badgergauge_standin::ledger::{Rule, Violation};
 use rustix::process::Signal;
 
 use super::settings::classes;
@@ -158,6 +158,6 @@
     /// Notes a rule that the harness itself saw broken.
     pub(super) fn break_rule(&mut self, rule: Rule, what: String) {
         let at = self.now();
-        self.gathered.broken.push(Breach { at, rule, what });
+        self.gathered.broken.push(Violation { at, rule, details: what });
     }
 }
--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -218,16 +218,16 @@
             }
             Fault::Servers { share, manner, lasts } => {
                 let manner = match manner {
-                    Manner::Break => model::Manner::Break,
-                    Manner::TurnAway => model::Manner::TurnAway,
-                    Manner::Swallow => model::Manner::Swallow,
-                    Manner::Hang => model::Manner::Hang,
-                    Manner::Slow => model::Manner::Slow(10.0),
-                    Manner::Spoil => model::Manner::Spoil,
+                    Manner::Break => model::Behaviour::Fail,
+                    Manner::TurnAway => model::Behaviour::Reject,
+                    Manner::Swallow => model::Behaviour::Ignore,
+                    Manner::Hang => model::Behaviour::CloseConnection,
+                    Manner::Slow => model::Behaviour::Slow(10.0),
+                    Manner::Spoil => model::Behaviour::CorruptResponse,
                 };
                 for server in some(rng, servers, *share) {
                     act(at, Act::World(World::Behave(server, manner)));
-                    act(at + *lasts, Act::World(World::Behave(server, model::Manner::Serve)));
+                    act(at + *lasts, Act::World(World::Behave(server, model::Behaviour::Serve)));
                 }
             }
             Fault::Late { by, lasts } => {
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -11,7 +11,7 @@
 use badgergauge_fleet::load::{Class, Clients, Effect, Load, Seen, Tell as FrontTell};
 use badgergauge_fleet::proxy::{Builder, Link, Proxy, Rule, Tell};
 use badgergauge_standin::ledger::Rule as Broken;
-use badgergauge_standin::model::{Figures, Manner};
+use badgergauge_standin::model::{Behaviour, ServerParameters};
 use badgergauge_standin::world::{Listed, Placed, Setting, Tell as WorldTell, World};
 
 const HANGS: Duration = Duration::from_secs(20);
@@ -150,20 +150,20 @@
 }
 
 fn world(servers: usize, brokers: usize) -> World {
-    let figures = Figures {
+    let parameters = ServerParameters {
         workers: 2,
-        service: Duration::from_millis(1),
-        queue: 10,
-        connections: 5,
+        mean_service_time: Duration::from_millis(1),
+        queue_limit: 10,
+        max_connections: 5,
         cold_from: 0.2,
-        cold_for: Duration::from_secs(10),
+        warm_up_time: Duration::from_secs(10),
         fall_multiple: 2.0,
-        window: Duration::from_secs(1),
-        down_for: Duration::from_millis(50),
+        load_window: Duration::from_secs(1),
+        restart_delay: Duration::from_millis(50),
     };
     let placed = |n: usize| Placed { name: format!("t{n}"), zone: "z".into(), cell: n as u32, up: true };
     let setting = Setting {
-        figures,
+        parameters,
         servers: (0..servers).map(placed).collect(),
         brokers,
         cells: servers as u32,
@@ -195,7 +195,7 @@
 }
 
 fn found(world: &World) -> Vec<Broken> {
-    world.ledger().breaches.iter().map(|breach| breach.rule).collect()
+    world.ledger().violations.iter().map(|breach| breach.rule).collect()
 }
 
 // A broken broker, by hand: each thing that it does wrong is found, and what is right is not.
@@ -209,7 +209,7 @@
     assert_eq!(found(&world), []);
     // Twice at once: the first is swallowed, and never given up. Word comes to the world before what is written
     // after it.
-    world.tell(WorldTell::Behave(0, Manner::Swallow));
+    world.tell(WorldTell::Behave(0, Behaviour::Ignore));
     one.write_all(&part("b0-2.0", 0, "k2")).expect("written");
     one.write_all(&framed("p")).expect("written");
     assert_eq!(answer(&mut one), "pserved", "both were read");
@@ -217,7 +217,7 @@
     two.write_all(&part("b0-2.0", 0, "k2")).expect("written");
     until(|| found(&world) == [Broken::SecondCopy]);
     // With word of the first it is none.
-    world.ledger().breaches.clear();
+    world.ledger().violations.clear();
     one.write_all(&part("b0-3.0", 0, "k3")).expect("written");
     one.write_all(&framed("cb0-3.0")).expect("written");
     one.write_all(&part("b0-3.0", 0, "k3")).expect("written");
@@ -239,13 +239,13 @@
     one.write_all(&part("b0-4.1", 1, "k4")).expect("written");
     until(|| found(&world) == [Broken::Misplaced]);
     // Begun and never ended.
-    world.ledger().breaches.clear();
+    world.ledger().violations.clear();
     two.write_all(&part("b0-5.0", 0, "k5")[..9]).expect("written");
     drop(two);
     until(|| found(&world) == [Broken::CutFrame]);
     // Again after its window, which is 10 ms here, and the slack.
-    world.ledger().breaches.clear();
-    world.tell(WorldTell::Behave(0, Manner::Serve));
+    world.ledger().violations.clear();
+    world.tell(WorldTell::Behave(0, Behaviour::Serve));
     until(|| {
         one.write_all(&part("b0-6.0", 0, "k1")).expect("written");
         answer(&mut one);
@@ -276,7 +276,7 @@
     until(|| told.elapsed() > Duration::from_millis(350));
     one.write_all(&part("b0-1.0", 0, "k1")).expect("written");
     until(|| found(&world) == [Broken::Drained]);
-    world.ledger().breaches.clear();
+    world.ledger().violations.clear();
     world.tell(WorldTell::List(0, Listed::Up));
     reads("\"up\"");
     world.tell(WorldTell::Stop(0));
@@ -294,7 +294,7 @@
         sent += 10;
         found(&world).contains(&Broken::ColdFell)
     });
-    let strain = world.ledger().cells.values().map(|cell| cell.strain).fold(0.0, f64::max);
+    let strain = world.ledger().server_counts.values().map(|counts| counts.cold_load).fold(0.0, f64::max);
     assert!(strain > 1.0, "{strain}");
 }
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins on loopback: a tile server that speaks the frames of the platform's protocol and serves every part
 //! with a value made from the shard and the text alone, so that two servers of a shard give the same answer.
 //!
-//! What one does with each part is a [`Manner`]; a test or the demo may change it while the server runs. A
+//! What one does with each part is a [`Behaviour`]; a test or the demo may change it while the server runs. A
 //! [`world`] is many of them with a discovery, in one thread, with service times, cold starts and limits.
 
 pub mod ledger;
@@ -14,27 +14,27 @@
 use std::thread;
 
 /// Longest frame that is taken.
-pub(crate) const MAX_FRAME: usize = 1024 * 1024;
+pub(crate) const MAX_FRAME_BYTES: usize = 1024 * 1024;
 
 /// What a server does with the parts that come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manner {
+pub enum Behaviour {
     /// Serves each.
     #[default]
     Serve,
     /// Answers each with an error.
-    Break,
+    Fail,
     /// Turns each away unseen.
-    TurnAway,
+    Reject,
     /// Takes each and answers none.
-    Swallow,
+    Ignore,
     /// Closes the connection on the first.
-    Hang,
+    CloseConnection,
 }
 
 /// A part that came, as its call named it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Came {
+pub struct ReceivedPart {
     /// The id of the part: the query's, a dot, the shard.
     pub id: String,
     /// The shard.
@@ -45,9 +45,9 @@
 
 #[derive(Default)]
 struct Shared {
-    manner: Manner,
-    came: Vec<Came>,
-    keep: bool,
+    behaviour: Behaviour,
+    received: Vec<ReceivedPart>,
+    recording: bool,
 }
 
 /// A running stand-in. Its threads end with the process.
@@ -83,18 +83,18 @@
     }
 
     /// What it does from now on.
-    pub fn behave(&self, manner: Manner) {
-        lock(&self.shared).manner = manner;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        lock(&self.shared).behaviour = behaviour;
     }
 
     /// Whether it remembers what comes; off at first, as the demo may run for days.
-    pub fn remember(&self, keep: bool) {
-        lock(&self.shared).keep = keep;
+    pub fn record_parts(&self, recording: bool) {
+        lock(&self.shared).recording = recording;
     }
 
     /// The parts that came while it remembered, and forgets them.
-    pub fn came(&self) -> Vec<Came> {
-        std::mem::take(&mut lock(&self.shared).came)
+    pub fn take_received_parts(&self) -> Vec<ReceivedPart> {
+        std::mem::take(&mut lock(&self.shared).received)
     }
 }
 
@@ -104,7 +104,7 @@
 }
 
 /// The value of a part: of the shard and the text, nothing else.
-pub fn value(shard: u32, text: &[u8]) -> String {
+pub fn part_value(shard: u32, text: &[u8]) -> String {
     let start = 0xcbf2_9ce4_8422_2325_u64 ^ u64::from(shard);
     let hash = text.iter().fold(start, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3));
     format!("{hash:016x}")
@@ -120,7 +120,7 @@
         let mut length = [0; 4];
         stream.read_exact(&mut length)?;
         let length = u32::from_be_bytes(length) as usize;
-        if length == 0 || length > MAX_FRAME {
+        if length == 0 || length > MAX_FRAME_BYTES {
             return write(&mut stream, b"ea frame of no use");
         }
         let mut frame = vec![0; length];
@@ -143,7 +143,7 @@
 }
 
 /// A part as a call carries it.
-pub(crate) struct Called<'a> {
+pub(crate) struct CallPart<'a> {
     pub(crate) id: String,
     pub(crate) shard: u32,
     pub(crate) key: Option<String>,
@@ -151,7 +151,7 @@
 }
 
 /// The parts of a call: for each a line and its text.
-pub(crate) fn lines(mut rest: &[u8]) -> io::Result<Vec<Called<'_>>> {
+pub(crate) fn parse_call(mut rest: &[u8]) -> io::Result<Vec<CallPart<'_>>> {
     let mut parts = Vec::new();
     while !rest.is_empty() {
         let end = rest.iter().position(|b| *b == b'\n').ok_or_else(|| invalid("no line"))?;
@@ -164,29 +164,29 @@
         let text = rest.get(end + 1..end + 1 + length).ok_or_else(|| invalid("the text is short"))?;
         rest = &rest[end + 1 + length..];
         let key = list.split(',').find_map(|entry| entry.strip_prefix("k=")).map(str::to_owned);
-        parts.push(Called { id, shard, key, text });
+        parts.push(CallPart { id, shard, key, text });
     }
     Ok(parts)
 }
 
 fn call(stream: &mut TcpStream, rest: &[u8], shared: &Mutex<Shared>) -> io::Result<()> {
-    for Called { id, shard, key, text } in lines(rest)? {
-        let manner = {
+    for CallPart { id, shard, key, text } in parse_call(rest)? {
+        let behaviour = {
             let mut shared = lock(shared);
-            if shared.keep {
-                shared.came.push(Came { id: id.clone(), shard, key });
+            if shared.recording {
+                shared.received.push(ReceivedPart { id: id.clone(), shard, key });
             }
-            shared.manner
+            shared.behaviour
         };
-        match manner {
-            Manner::Serve => {
-                let value = value(shard, text);
+        match behaviour {
+            Behaviour::Serve => {
+                let value = part_value(shard, text);
                 write(stream, format!("a{id} served {} -\n{value}", shard + 1).as_bytes())?;
             }
-            Manner::Break => write(stream, format!("a{id} broke 0 -\n").as_bytes())?,
-            Manner::TurnAway => write(stream, format!("a{id} skipped 0 -\n").as_bytes())?,
-            Manner::Swallow => {}
-            Manner::Hang => return Err(invalid("told to")),
+            Behaviour::Fail => write(stream, format!("a{id} broke 0 -\n").as_bytes())?,
+            Behaviour::Reject => write(stream, format!("a{id} skipped 0 -\n").as_bytes())?,
+            Behaviour::Ignore => {}
+            Behaviour::CloseConnection => return Err(invalid("told to")),
         }
     }
     Ok(())
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -1,5 +1,5 @@
 //! Many stand-in tile servers and a discovery with its list, in one thread on one poller. What servers do with
-//! parts is decided by [`Model`], what of it counts or breaks a rule by [`Ledger`]; here are only the sockets.
+//! parts is decided by [`ServerModel`], what of it counts or breaks a rule by [`Ledger`]; here are only the sockets.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -15,9 +15,9 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
 
-use crate::ledger::{Ledger, Named, Rule};
-use crate::model::{Figures, Manner, Model, Taken};
-use crate::{MAX_FRAME, lines, value};
+use crate::ledger::{Ledger, PartRef, Rule};
+use crate::model::{Behaviour, PartOutcome, ServerModel, ServerParameters};
+use crate::{MAX_FRAME_BYTES, parse_call, part_value};
 
 /// Discovery writes an empty line so often while nothing changes.
 const BEAT: Duration = Duration::from_secs(2);
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 pub struct Setting {
     /// What each server can do.
-    pub figures: Figures,
+    pub parameters: ServerParameters,
     /// The servers, those of later included.
     pub servers: Vec<Placed>,
     /// How many brokers ask discovery.
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Tell {
     /// A server does this with parts from now on.
-    Behave(usize, Manner),
+    Behave(usize, Behaviour),
     /// A server's process ends: its connections are reset.
     Stop(usize),
     /// A server's process starts, cold.
@@ -233,7 +233,7 @@
     due: BinaryHeap<Reverse<(Duration, u64)>>,
     what: HashMap<u64, Due>,
     last_due: u64,
-    models: Vec<Model>,
+    models: Vec<ServerModel>,
     /// A server takes no connection before that: it fell over, or its process is not there.
     down: Vec<Option<Duration>>,
     /// When each server's process started, in Unix milliseconds; 0 for long ago.
@@ -267,7 +267,7 @@
     ) -> io::Result<Self> {
         let list: Vec<Listed> =
             setting.servers.iter().map(|s| if s.up { Listed::Up } else { Listed::Gone }).collect();
-        let models = setting.servers.iter().map(|_| Model::new(setting.figures, None)).collect();
+        let models = setting.servers.iter().map(|_| ServerModel::new(setting.parameters, None)).collect();
         let down = setting.servers.iter().map(|s| (!s.up).then_some(Duration::MAX)).collect();
         let since_ms = vec![0; setting.servers.len()];
         let view = list.iter().map(|state| (*state, 0)).collect();
@@ -357,7 +357,7 @@
         match what {
             Due::Read(key) => self.read(now, key),
             Due::Answer(key, id, bytes) => {
-                lock(&self.ledger).over(key, &id);
+                lock(&self.ledger).part_finished(key, &id);
                 self.send(key, &bytes);
             }
             Due::Push(version) => self.push(now, version),
@@ -386,7 +386,7 @@
 
     fn heed(&mut self, now: Duration, tell: Tell) {
         match tell {
-            Tell::Behave(server, manner) => self.models[server].behave(manner),
+            Tell::Behave(server, behaviour) => self.models[server].set_behaviour(behaviour),
             Tell::Stop(server) => {
                 self.down[server] = Some(Duration::MAX);
                 self.reset(server);
@@ -405,7 +405,7 @@
                 watches.for_each(|link| link.silent = link.silent.or(Some(now)));
                 self.arm(until, Due::Back);
             }
-            Tell::BrokerGone(broker) => lock(&self.ledger).forget(broker),
+            Tell::BrokerGone(broker) => lock(&self.ledger).forget_broker(broker),
             Tell::BrokerStarts(broker) => self.has(now, broker),
             Tell::End => {}
         }
@@ -414,7 +414,7 @@
     /// A server's process starts, or comes back after it fell over.
     fn starts(&mut self, now: Duration, server: usize) {
         self.down[server] = None;
-        self.models[server] = Model::new(self.setting.figures, Some(now));
+        self.models[server] = ServerModel::new(self.setting.parameters, Some(now));
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         self.since_ms[server] = unix.as_millis() as u64;
         self.changed(now);
@@ -446,7 +446,7 @@
         if reset {
             let _ = socket2::SockRef::from(&link.stream).set_linger(Some(Duration::ZERO));
         }
-        lock(&self.ledger).ended(key);
+        lock(&self.ledger).connection_closed(key);
     }
 
     fn accept(&mut self, now: Duration, key: usize) {
@@ -469,14 +469,14 @@
                 };
                 let open = self.links.values().filter(|l| l.which == which).count();
                 let mut ledger = lock(&self.ledger);
-                let cell = ledger.cell(now, server);
-                if is_down || open >= self.setting.figures.connections {
-                    cell.refused += 1;
+                let counts = ledger.counts_mut(now, server);
+                if is_down || open >= self.setting.parameters.max_connections {
+                    counts.refused_connections += 1;
                     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                     continue;
                 }
-                cell.handshakes += 1;
-                cell.open = cell.open.max(open as u32 + 1);
+                counts.handshakes += 1;
+                counts.max_open = counts.max_open.max(open as u32 + 1);
             }
             let key = self.new_key();
             if self.poll.add(&stream, key, true, false).is_ok() {
@@ -537,7 +537,7 @@
         if over {
             if matches!(link.which, Which::Tile(_)) && !link.bytes.is_empty() {
                 let what = format!("a frame of {} bytes so far was never ended", link.bytes.len());
-                lock(&self.ledger).breach(now, Rule::CutFrame, what);
+                lock(&self.ledger).record_violation(now, Rule::CutFrame, what);
             }
             self.drop_link(key, false);
         } else {
@@ -555,7 +555,7 @@
             };
             let length = u32::from_be_bytes(*length) as usize;
             let begun = link.begun.unwrap_or(now);
-            if length == 0 || length > MAX_FRAME {
+            if length == 0 || length > MAX_FRAME_BYTES {
                 return self.misplaced(now, key, "a frame of no use".to_owned());
             }
             let Some(frame) = rest.get(..length).map(<[u8]>::to_vec) else {
@@ -568,10 +568,10 @@
                 b'q' => self.call(now, begun, key, server, &frame[1..]),
                 b'c' => {
                     let id = String::from_utf8_lossy(&frame[1..]).into_owned();
-                    lock(&self.ledger).over(key, &id);
+                    lock(&self.ledger).part_finished(key, &id);
                 }
                 b'p' | b'l' => {
-                    lock(&self.ledger).cell(now, server).probes += 1;
+                    lock(&self.ledger).counts_mut(now, server).probes += 1;
                     let answer: &[u8] = if frame[0] == b'p' { b"pserved" } else { b"l-" };
                     self.send(key, &framed(answer));
                 }
@@ -581,69 +581,73 @@
     }
 
     fn misplaced(&mut self, now: Duration, key: usize, what: String) {
-        lock(&self.ledger).breach(now, Rule::Misplaced, what);
+        lock(&self.ledger).record_violation(now, Rule::Misplaced, what);
         self.drop_link(key, false);
     }
 
     fn call(&mut self, now: Duration, begun: Duration, key: usize, server: usize, rest: &[u8]) {
-        let parts = match lines(rest) {
+        let parts = match parse_call(rest) {
             Ok(parts) => parts,
             Err(fault) => return self.misplaced(now, key, fault.to_string()),
         };
         for part in parts {
-            let named = Named { id: &part.id, shard: part.shard, key: part.key.as_deref() };
+            let named = PartRef { id: &part.id, shard: part.shard, key: part.key.as_deref() };
             self.notice_reset(&part.id);
-            lock(&self.ledger).came(now, begun, server, key, named);
+            lock(&self.ledger).part_received(now, begun, server, key, named);
             let (cell, cells) = (self.setting.servers[server].cell, self.setting.cells.max(1));
             let holds = (0..self.setting.width).any(|n| (part.shard + n) % cells == cell % cells);
             if !holds {
                 let what = format!("{} of shard {} went to cell {cell}", part.id, part.shard);
-                lock(&self.ledger).breach(now, Rule::Misplaced, what);
+                lock(&self.ledger).record_violation(now, Rule::Misplaced, what);
             }
-            let cold = self.models[server].warmth(now) < 1.0;
-            let (work, taken) = self.models[server].take(now, self.rng.random());
-            let strain = self.models[server].strain(now);
+            let cold = self.models[server].relative_speed(now) < 1.0;
+            let (work, taken) = self.models[server].accept_part(now, self.rng.random());
+            let cold_load = self.models[server].cold_load(now);
             let mut ledger = lock(&self.ledger);
-            let cell = ledger.cell(now, server);
-            cell.parts += 1;
-            cell.cold_work += if cold { work } else { 0.0 };
-            cell.strain = cell.strain.max(strain);
+            let counts = ledger.counts_mut(now, server);
+            counts.parts += 1;
+            counts.cold_work += if cold { work } else { 0.0 };
+            counts.cold_load = counts.cold_load.max(cold_load);
             let id = &part.id;
             let (at, answer) = match taken {
-                Taken::Serves(at) => {
-                    let value = value(part.shard, part.text);
+                PartOutcome::Served(at) => {
+                    let value = part_value(part.shard, part.text);
                     (at, format!("a{id} served {} -\n{value}", part.shard + 1))
                 }
                 // Its length does not fit: what follows can't be told apart.
-                Taken::Spoils(at) => (at, format!("z{id} served")),
-                Taken::Breaks(at) => {
-                    cell.lost += 1;
+                PartOutcome::Corrupted(at) => (at, format!("z{id} served")),
+                PartOutcome::Failed(at) => {
+                    counts.lost += 1;
                     (at, format!("a{id} broke 0 -\n"))
                 }
-                Taken::TurnedAway => {
-                    cell.turned_away += 1;
+                PartOutcome::Rejected => {
+                    counts.rejected += 1;
                     (now, format!("a{id} skipped 0 -\n"))
                 }
-                Taken::Swallowed => {
-                    cell.lost += 1;
+                PartOutcome::Ignored => {
+                    counts.lost += 1;
                     continue;
                 }
-                Taken::Closes => {
-                    cell.lost += 1;
+                PartOutcome::ConnectionClosed => {
+                    counts.lost += 1;
                     drop(ledger);
                     return self.drop_link(key, false);
                 }
-                Taken::Falls => {
-                    cell.lost += 1;
+                PartOutcome::ServerCrashed => {
+                    counts.lost += 1;
                     let name = &self.setting.servers[server].name;
-                    ledger.breach(now, Rule::ColdFell, format!("{name} fell over while it was cold"));
+                    ledger.record_violation(
+                        now,
+                        Rule::ColdFell,
+                        format!("{name} fell over while it was cold"),
+                    );
                     drop(ledger);
-                    self.down[server] = Some(now + self.setting.figures.down_for);
+                    self.down[server] = Some(now + self.setting.parameters.restart_delay);
                     return self.reset(server);
                 }
             };
-            if matches!(taken, Taken::Serves(_) | Taken::Spoils(_)) {
-                ledger.runs(now, named);
+            if matches!(taken, PartOutcome::Served(_) | PartOutcome::Corrupted(_)) {
+                ledger.part_executed(now, named);
             }
             drop(ledger);
             let bytes = framed(answer.as_bytes());
@@ -654,7 +658,7 @@
     /// A part whose connection the network has reset is over, also where this server has yet to look. What its
     /// broker ended by a close or said in a frame is over once it is read.
     fn notice_reset(&mut self, id: &str) {
-        let Some(on) = lock(&self.ledger).out_on(id) else { return };
+        let Some(on) = lock(&self.ledger).connection_of(id) else { return };
         let Some(link) = self.links.get(&on) else { return };
         // What came before a reset may stand unread before it, so reading would not show it.
         if matches!(link.stream.take_error(), Ok(Some(error)) if error.kind() == io::ErrorKind::ConnectionReset)
@@ -676,9 +680,9 @@
         let turned_away = now < self.turn_away_until;
         {
             let mut ledger = lock(&self.ledger);
-            let calls = ledger.calls.entry(now.as_secs()).or_default();
-            calls.came += 1;
-            calls.turned_away += u32::from(turned_away);
+            let calls = ledger.list_calls.entry(now.as_secs()).or_default();
+            calls.received += 1;
+            calls.rejected += u32::from(turned_away);
         }
         if turned_away {
             self.send(key, b"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
@@ -721,7 +725,7 @@
         let Some(view) = self.views.get(&self.shown) else { return };
         let mut ledger = lock(&self.ledger);
         for (server, (state, _)) in view.iter().enumerate() {
-            ledger.told(now, broker, server, *state != Listed::Up);
+            ledger.set_drain_known(now, broker, server, *state != Listed::Up);
         }
     }
 
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command};
 
-use badgergauge_standin::{Manner, TileServer};
+use badgergauge_standin::{Behaviour, TileServer};
 use badgergauge_trace::merge::{MergedStream, trace_files};
 use badgergauge_trace::tools;
 mod program;
@@ -95,13 +95,13 @@
     let mut broker = Broker::start("record", &servers, "trace: {dir: DIR, file_mb: 1, total_mb: 4}\n");
     assert!(broker.request("search", "q1", "X-Route-Key: 00000000deadbeef\r\n").contains("\"full\":true"));
     // One server fails: its parts are sent to the other.
-    servers[0].behave(Manner::Break);
+    servers[0].set_behaviour(Behaviour::Fail);
     for number in 2..8 {
         assert!(broker.request("search", &format!("q{number}"), "").contains("\"full\":true"));
     }
     broker.signal("HUP");
     while !broker.log.recv_timeout(WAIT_LIMIT).expect("it says so").contains("a new file begins") {}
-    servers[0].behave(Manner::Serve);
+    servers[0].set_behaviour(Behaviour::Serve);
     assert!(broker.request("flag", "q8", "Idempotency-Key: key-8\r\n").contains("\"full\":true"));
     broker.stop();
     let files = broker.files();
@@ -127,7 +127,7 @@
             let text = format!("{records:?}");
             assert!(
                 !text.contains("secret-text")
-                    && !text.contains(&badgergauge_standin::value(0, b"secret-text"))
+                    && !text.contains(&badgergauge_standin::part_value(0, b"secret-text"))
             );
         }
     }
