--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -15,7 +15,7 @@
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
 use std::time::{Duration, Instant};
 
-use badgergauge_standin::world::{Tell as WorldTell, World};
+use badgergauge_standin::world::{World, WorldCommand};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustix::process::Signal;
@@ -222,7 +222,8 @@
         Ok(addresses)
     })?;
     for broker in 0..scenario.brokers {
-        let [one, other] = [builder.tcp(world.discovery(broker))?, builder.tcp(world.discovery(broker))?];
+        let [one, other] =
+            [builder.tcp(world.discovery_address(broker))?, builder.tcp(world.discovery_address(broker))?];
         wires.lists.push([one.0, other.0]);
         wires.list_at.push([one.1, other.1]);
     }
@@ -480,13 +481,13 @@
                 self.configure(broker)?;
                 self.signal(broker, Signal::HUP);
             }
-            Act::World(WorldTell::TurnAwayUntil(until)) => {
-                self.world.tell(WorldTell::TurnAwayUntil(until + self.offset));
+            Act::World(WorldCommand::RejectCallsUntil(until)) => {
+                self.world.send(WorldCommand::RejectCallsUntil(until + self.offset));
             }
-            Act::World(WorldTell::SilentUntil(until)) => {
-                self.world.tell(WorldTell::SilentUntil(until + self.offset));
+            Act::World(WorldCommand::StallDiscoveryUntil(until)) => {
+                self.world.send(WorldCommand::StallDiscoveryUntil(until + self.offset));
             }
-            Act::World(tell) => self.world.tell(tell),
+            Act::World(tell) => self.world.send(tell),
             Act::Server(server, up) => {
                 let links = self.wires.choose(&Links::Servers(vec![server]), self.scenario);
                 self.proxy.tell(if up { ProxyTell::Up(links) } else { ProxyTell::Down(links) });
@@ -592,7 +593,7 @@
         let log = self.file(broker, "log");
         let process = Process::start(command, &log, broker, run, self.notes.clone())?;
         self.brokers[broker].starts = run;
-        self.world.tell(WorldTell::BrokerStarts(broker));
+        self.world.send(WorldCommand::BrokerStarted(broker));
         Ok(process)
     }
 
@@ -650,7 +651,7 @@
                 let status = process.reap()?;
                 state.cpu = [state.cpu[0] + state.cpu[1], 0.0];
                 if !self.options.drains_hold {
-                    self.world.tell(WorldTell::BrokerGone(note.broker));
+                    self.world.send(WorldCommand::BrokerStopped(note.broker));
                 }
                 // Another process may have taken its port between the choice and the bind.
                 let failed_to_start = state.started.take().is_some() && !state.ends;
--- a/crates/fleet/src/run/settings.rs
+++ b/crates/fleet/src/run/settings.rs
@@ -5,7 +5,7 @@
 
 use badgergauge_standin::ledger;
 use badgergauge_standin::model::ServerParameters;
-use badgergauge_standin::world::{Placed, Setting};
+use badgergauge_standin::world::{ServerConfig, WorldConfig};
 use serde_json::{Value, json};
 
 use super::Options;
@@ -78,18 +78,18 @@
 }
 
 /// A server as it stands in lists.
-pub fn placed(scenario: &Scenario, server: usize, cell: usize, up: bool) -> Placed {
+pub fn placed(scenario: &Scenario, server: usize, cell: usize, up: bool) -> ServerConfig {
     let (name, zone) = (format!("t{server:03}"), format!("z{}", zone_of(server, scenario.zones)));
-    Placed { name, zone, cell: cell as u32, up }
+    ServerConfig { name, zone, cell: cell as u32, initially_up: up }
 }
 
 /// What the stand-ins are told of the fleet.
-pub fn setting(scenario: &Scenario, options: &Options, schedule: &Schedule) -> Setting {
+pub fn setting(scenario: &Scenario, options: &Options, schedule: &Schedule) -> WorldConfig {
     let first = (0..scenario.servers).map(|server| (server, server % scenario.cells, true));
     let later = schedule.later.iter().enumerate();
     let later = later.map(|(n, cell)| (scenario.servers + n, *cell, false));
     let placed = first.chain(later).map(|(server, cell, up)| placed(scenario, server, cell, up));
-    Setting {
+    WorldConfig {
         parameters: ServerParameters {
             workers: scenario.tile.workers,
             mean_service_time: scenario.tile.service,
@@ -105,7 +105,7 @@
         brokers: scenario.brokers,
         cells: scenario.cells as u32,
         width: scenario.width as u32,
-        window: options.window.min(scenario.window),
+        idempotency_window: options.window.min(scenario.window),
         read_lag: scenario.tile.read_lag,
         pushed: !scenario.on_request,
         indented: scenario.indented,
--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgergauge_standin::model;
-use badgergauge_standin::world::{Listed, Tell as World};
+use badgergauge_standin::world::{ListedState, WorldCommand as World};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -190,9 +190,9 @@
                     (0..servers).filter(|s| zone_of(*s, scenario.zones) == *zone).collect();
                 act(at, Act::Links(Links::Servers(lost.clone()), Rule::cut()));
                 // What comes back is another process: old connections are reset as it is reached again.
-                lost.iter().for_each(|server| act(at + *lasts, Act::World(World::Stop(*server))));
+                lost.iter().for_each(|server| act(at + *lasts, Act::World(World::StopServer(*server))));
                 act(at + *lasts, Act::ResetLinks(Links::Servers(lost.clone())));
-                lost.iter().for_each(|server| act(at + *lasts, Act::World(World::Start(*server))));
+                lost.iter().for_each(|server| act(at + *lasts, Act::World(World::StartServer(*server))));
                 act(at + *lasts, Act::Links(Links::Servers(lost), Rule::default()));
             }
             Fault::Partition { zone, one_way, lasts } => {
@@ -207,13 +207,13 @@
                     let (at, new) = (at + step * n as u32, servers + self.later.len());
                     self.later.push(server % scenario.cells);
                     let mut act = |at: Duration, act: Act| self.acts.push((at, act));
-                    act(at, Act::World(World::Start(new)));
+                    act(at, Act::World(World::StartServer(new)));
                     act(at, Act::Server(new, true));
-                    act(at, Act::World(World::List(new, Listed::Up)));
-                    act(at, Act::World(World::List(server, Listed::Draining)));
-                    act(at + DRAINS, Act::World(World::List(server, Listed::Gone)));
+                    act(at, Act::World(World::SetListed(new, ListedState::Up)));
+                    act(at, Act::World(World::SetListed(server, ListedState::Draining)));
+                    act(at + DRAINS, Act::World(World::SetListed(server, ListedState::Removed)));
                     act(at + DRAINS * 2, Act::Server(server, false));
-                    act(at + DRAINS * 2, Act::World(World::Stop(server)));
+                    act(at + DRAINS * 2, Act::World(World::StopServer(server)));
                 }
             }
             Fault::Servers { share, manner, lasts } => {
@@ -226,17 +226,17 @@
                     Manner::Spoil => model::Behaviour::CorruptResponse,
                 };
                 for server in some(rng, servers, *share) {
-                    act(at, Act::World(World::Behave(server, manner)));
-                    act(at + *lasts, Act::World(World::Behave(server, model::Behaviour::Serve)));
+                    act(at, Act::World(World::SetBehaviour(server, manner)));
+                    act(at + *lasts, Act::World(World::SetBehaviour(server, model::Behaviour::Serve)));
                 }
             }
             Fault::Late { by, lasts } => {
-                act(at, Act::World(World::Late(*by)));
-                act(at + *lasts, Act::World(World::Late(Duration::ZERO)));
+                act(at, Act::World(World::DelayListUpdates(*by)));
+                act(at + *lasts, Act::World(World::DelayListUpdates(Duration::ZERO)));
             }
             // The world's times count from its start, a little before the clients': the runner adds that.
-            Fault::TurnAway { lasts } => act(at, Act::World(World::TurnAwayUntil(at + *lasts))),
-            Fault::Silence { lasts } => act(at, Act::World(World::SilentUntil(at + *lasts))),
+            Fault::TurnAway { lasts } => act(at, Act::World(World::RejectCallsUntil(at + *lasts))),
+            Fault::Silence { lasts } => act(at, Act::World(World::StallDiscoveryUntil(at + *lasts))),
             Fault::Network { delay, jitter, loss, reset, rate, lasts } => {
                 let rule = Rule {
                     delay: *delay,
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -12,7 +12,7 @@
 use badgergauge_fleet::proxy::{Builder, Link, Proxy, Rule, Tell};
 use badgergauge_standin::ledger::Rule as Broken;
 use badgergauge_standin::model::{Behaviour, ServerParameters};
-use badgergauge_standin::world::{Listed, Placed, Setting, Tell as WorldTell, World};
+use badgergauge_standin::world::{ListedState, ServerConfig, World, WorldCommand, WorldConfig};
 
 const HANGS: Duration = Duration::from_secs(20);
 /// Long against what loopback takes; that nothing comes is waited for so long.
@@ -161,20 +161,25 @@
         load_window: Duration::from_secs(1),
         restart_delay: Duration::from_millis(50),
     };
-    let placed = |n: usize| Placed { name: format!("t{n}"), zone: "z".into(), cell: n as u32, up: true };
-    let setting = Setting {
+    let placed = |n: usize| ServerConfig {
+        name: format!("t{n}"),
+        zone: "z".into(),
+        cell: n as u32,
+        initially_up: true,
+    };
+    let config = WorldConfig {
         parameters,
         servers: (0..servers).map(placed).collect(),
         brokers,
         cells: servers as u32,
         width: 1,
-        window: Duration::from_millis(10),
+        idempotency_window: Duration::from_millis(10),
         read_lag: Duration::ZERO,
         pushed: false,
         indented: false,
         seed: 1,
     };
-    World::start(setting, Instant::now(), |at| Ok(vec![at.to_vec(); brokers])).expect("starts")
+    World::start(config, Instant::now(), |at| Ok(vec![at.to_vec(); brokers])).expect("starts")
 }
 
 fn framed(frame: &str) -> Vec<u8> {
@@ -202,14 +207,14 @@
 #[test]
 fn the_stand_ins_find_what_a_broken_broker_does() {
     let world = world(2, 1);
-    let connect = |server: usize| TcpStream::connect(world.tile(server)).expect("listens");
+    let connect = |server: usize| TcpStream::connect(world.tile_address(server)).expect("listens");
     let mut one = connect(0);
     one.write_all(&part("b0-1.0", 0, "k1")).expect("written");
     assert!(answer(&mut one).starts_with("ab0-1.0 served "));
     assert_eq!(found(&world), []);
     // Twice at once: the first is swallowed, and never given up. Word comes to the world before what is written
     // after it.
-    world.tell(WorldTell::Behave(0, Behaviour::Ignore));
+    world.send(WorldCommand::SetBehaviour(0, Behaviour::Ignore));
     one.write_all(&part("b0-2.0", 0, "k2")).expect("written");
     one.write_all(&framed("p")).expect("written");
     assert_eq!(answer(&mut one), "pserved", "both were read");
@@ -245,7 +250,7 @@
     until(|| found(&world) == [Broken::CutFrame]);
     // Again after its window, which is 10 ms here, and the slack.
     world.ledger().violations.clear();
-    world.tell(WorldTell::Behave(0, Behaviour::Serve));
+    world.send(WorldCommand::SetBehaviour(0, Behaviour::Serve));
     until(|| {
         one.write_all(&part("b0-6.0", 0, "k1")).expect("written");
         answer(&mut one);
@@ -257,7 +262,7 @@
 #[test]
 fn a_cold_server_falls_over_and_a_drain_binds_from_when_it_was_told() {
     let world = world(1, 1);
-    let mut watch = TcpStream::connect(world.discovery(0)).expect("listens");
+    let mut watch = TcpStream::connect(world.discovery_address(0)).expect("listens");
     watch.write_all(b"GET /discovery/hosts?stream=1&index=0 HTTP/1.1\r\nHost: d\r\n\r\n").expect("written");
     watch.set_read_timeout(Some(HANGS)).expect("set");
     let mut list = String::new();
@@ -269,22 +274,22 @@
         }
     };
     reads("\"up\"");
-    world.tell(WorldTell::List(0, Listed::Draining));
+    world.send(WorldCommand::SetListed(0, ListedState::Draining));
     reads("\"draining\"");
     let told = Instant::now();
-    let mut one = TcpStream::connect(world.tile(0)).expect("listens");
+    let mut one = TcpStream::connect(world.tile_address(0)).expect("listens");
     until(|| told.elapsed() > Duration::from_millis(350));
     one.write_all(&part("b0-1.0", 0, "k1")).expect("written");
     until(|| found(&world) == [Broken::Drained]);
     world.ledger().violations.clear();
-    world.tell(WorldTell::List(0, Listed::Up));
+    world.send(WorldCommand::SetListed(0, ListedState::Up));
     reads("\"up\"");
-    world.tell(WorldTell::Stop(0));
-    world.tell(WorldTell::Start(0));
+    world.send(WorldCommand::StopServer(0));
+    world.send(WorldCommand::StartServer(0));
     // Two workers at a fifth and a bit: 0.8 s of work in a second is the limit, 800 parts of 1 ms.
     let mut sent = 0;
     until(|| {
-        if let Ok(mut one) = TcpStream::connect(world.tile(0)) {
+        if let Ok(mut one) = TcpStream::connect(world.tile_address(0)) {
             let many: Vec<u8> = (0..10).flat_map(|n| part(&format!("b1-{}.0", sent + n), 0, "x")).collect();
             // It is reset once the server falls; those that it turned away first are no work.
             let _ = one.write_all(&many);
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -20,15 +20,15 @@
 use crate::{MAX_FRAME_BYTES, parse_call, part_value};
 
 /// Discovery writes an empty line so often while nothing changes.
-const BEAT: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// What a silent watch misses counts as told so long after it fell silent, says the standing test's page.
-const SILENT_IS_TOLD: Duration = Duration::from_secs(6);
+const DELIVERY_DEADLINE: Duration = Duration::from_secs(6);
 /// Bytes of a chunk where lists come in small ones.
-const SMALL_CHUNK: usize = 61;
+const SMALL_CHUNK_BYTES: usize = 61;
 
 /// A tile server of the world.
 #[derive(Clone, Debug)]
-pub struct Placed {
+pub struct ServerConfig {
     /// Its name.
     pub name: String,
     /// Its zone's name.
@@ -36,16 +36,16 @@
     /// Its cell.
     pub cell: u32,
     /// Whether it is up from the start; others are kept for later.
-    pub up: bool,
+    pub initially_up: bool,
 }
 
 /// What the world is made of.
 #[derive(Clone, Debug)]
-pub struct Setting {
+pub struct WorldConfig {
     /// What each server can do.
     pub parameters: ServerParameters,
     /// The servers, those of later included.
-    pub servers: Vec<Placed>,
+    pub servers: Vec<ServerConfig>,
     /// How many brokers ask discovery.
     pub brokers: usize,
     /// Cells, and how many of them hold a shard, as the settings say.
@@ -53,7 +53,7 @@
     /// Holders of each shard.
     pub width: u32,
     /// How long a key is known after its part first ran.
-    pub window: Duration,
+    pub idempotency_window: Duration,
     /// Connections are read up to so late, each drawn anew: servers are busy.
     pub read_lag: Duration,
     /// Lists are pushed to an agent beside each broker: what it has counts as told, watch or none.
@@ -66,44 +66,44 @@
 
 /// A server's state in discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedState {
     /// It serves.
     Up,
     /// It finishes what it has.
     Draining,
     /// It is not in the list.
-    Gone,
+    Removed,
 }
 
 /// What the world is told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Tell {
+pub enum WorldCommand {
     /// A server does this with parts from now on.
-    Behave(usize, Behaviour),
+    SetBehaviour(usize, Behaviour),
     /// A server's process ends: its connections are reset.
-    Stop(usize),
+    StopServer(usize),
     /// A server's process starts, cold.
-    Start(usize),
+    StartServer(usize),
     /// The list changes.
-    List(usize, Listed),
+    SetListed(usize, ListedState),
     /// What discovery has to say comes so late from now on.
-    Late(Duration),
+    DelayListUpdates(Duration),
     /// Discovery turns callers away until then.
-    TurnAwayUntil(Duration),
+    RejectCallsUntil(Duration),
     /// Discovery is silent until then: it takes connections, answers none of them, and the watches that are open
     /// bring nothing any more, then or later.
-    SilentUntil(Duration),
+    StallDiscoveryUntil(Duration),
     /// A broker's process is gone.
-    BrokerGone(usize),
+    BrokerStopped(usize),
     /// A broker's process starts.
-    BrokerStarts(usize),
+    BrokerStarted(usize),
     /// The world ends.
-    End,
+    Shutdown,
 }
 
-/// The running world.
+/// The event_loop world.
 pub struct World {
-    tell: Sender<Tell>,
+    sender: Sender<WorldCommand>,
     waker: Waker,
     thread: Option<JoinHandle<()>>,
     ledger: Arc<Mutex<Ledger>>,
@@ -119,7 +119,7 @@
     ///
     /// When loopback has no port left.
     pub fn start(
-        setting: Setting,
+        config: WorldConfig,
         start: Instant,
         addresses: impl FnOnce(&[SocketAddr]) -> io::Result<Vec<Vec<SocketAddr>>>,
     ) -> io::Result<Self> {
@@ -128,40 +128,41 @@
             listener.set_nonblocking(true)?;
             Ok(listener)
         };
-        let tile_listeners: Vec<_> = setting.servers.iter().map(|_| bind()).collect::<Result<_, _>>()?;
-        let discovery_listeners: Vec<_> = (0..setting.brokers).map(|_| bind()).collect::<Result<_, _>>()?;
+        let tile_listeners: Vec<_> = config.servers.iter().map(|_| bind()).collect::<Result<_, _>>()?;
+        let discovery_listeners: Vec<_> = (0..config.brokers).map(|_| bind()).collect::<Result<_, _>>()?;
         let at = |all: &[TcpListener]| all.iter().map(TcpListener::local_addr).collect::<Result<Vec<_>, _>>();
         let (tiles, discovery) = (at(&tile_listeners)?, at(&discovery_listeners)?);
         let addresses = addresses(&tiles)?;
-        let ledger = Arc::new(Mutex::new(Ledger::new(setting.window)));
-        let (tell, told) = mpsc::channel();
-        let mut running = Running::new(setting, start, addresses, ledger.clone(), told)?;
-        let tiles_of = tile_listeners.into_iter().enumerate().map(|(s, l)| (Which::Tile(s), l));
-        let discovery_of = discovery_listeners.into_iter().enumerate().map(|(b, l)| (Which::Discovery(b), l));
-        for (which, listener) in tiles_of.chain(discovery_of) {
-            let key = running.new_key();
-            running.poll.add(&listener, key, true, false)?;
-            running.listeners.insert(key, (which, listener));
+        let ledger = Arc::new(Mutex::new(Ledger::new(config.idempotency_window)));
+        let (sender, commands) = mpsc::channel();
+        let mut event_loop = EventLoop::new(config, start, addresses, ledger.clone(), commands)?;
+        let tiles_of = tile_listeners.into_iter().enumerate().map(|(s, l)| (Endpoint::Tile(s), l));
+        let discovery_of =
+            discovery_listeners.into_iter().enumerate().map(|(b, l)| (Endpoint::Discovery(b), l));
+        for (endpoint, listener) in tiles_of.chain(discovery_of) {
+            let key = event_loop.new_key();
+            event_loop.poll.add(&listener, key, true, false)?;
+            event_loop.listeners.insert(key, (endpoint, listener));
         }
-        let waker = running.poll.waker();
-        let thread = thread::Builder::new().name("world".into()).spawn(move || running.run())?;
-        Ok(World { tell, waker, thread: Some(thread), ledger, tiles, discovery })
+        let waker = event_loop.poll.waker();
+        let thread = thread::Builder::new().name("world".into()).spawn(move || event_loop.run())?;
+        Ok(World { sender, waker, thread: Some(thread), ledger, tiles, discovery })
     }
 
     /// Where discovery listens for a broker.
-    pub fn discovery(&self, broker: usize) -> SocketAddr {
+    pub fn discovery_address(&self, broker: usize) -> SocketAddr {
         self.discovery[broker]
     }
 
     /// Where a server listens itself.
-    pub fn tile(&self, server: usize) -> SocketAddr {
+    pub fn tile_address(&self, server: usize) -> SocketAddr {
         self.tiles[server]
     }
 
     /// Tells it something; it takes hold at once.
-    pub fn tell(&self, what: Tell) {
+    pub fn send(&self, command: WorldCommand) {
         // It ends only with `drop`, after which nobody tells it anything.
-        let _ = self.tell.send(what);
+        let _ = self.sender.send(command);
         self.waker.wake();
     }
 
@@ -173,7 +174,7 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        self.tell(Tell::End);
+        self.send(WorldCommand::Shutdown);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -186,118 +187,121 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Which {
+enum Endpoint {
     Tile(usize),
     Discovery(usize),
 }
 
-enum Due {
+enum TimerEvent {
     /// A connection is read, late as it may be.
     Read(usize),
     /// A part's answer goes out: on a connection, of an id, as these bytes.
-    Answer(usize, String, Vec<u8>),
+    SendResponse(usize, String, Vec<u8>),
     /// The list as it is now is told.
-    Push(u64),
+    PublishList(u64),
     /// An empty line on every watch.
-    Beat,
+    Heartbeat,
     /// Discovery speaks again.
-    Back,
+    DiscoveryResumes,
     /// What a broker's silent watch has missed counts as told, if that watch is still there.
-    Told(usize),
+    DeemedDelivered(usize),
 }
 
-struct Link {
-    which: Which,
+struct Connection {
+    endpoint: Endpoint,
     stream: TcpStream,
-    bytes: Vec<u8>,
-    out: Vec<u8>,
+    read_buffer: Vec<u8>,
+    write_buffer: Vec<u8>,
     /// When the first byte of the frame under way came.
-    begun: Option<Duration>,
+    frame_started: Option<Duration>,
     /// Whether discovery's head was written.
-    watching: bool,
+    is_watch: bool,
     /// Since when it brings nothing any more, though it stays open.
-    silent: Option<Duration>,
+    stalled_since: Option<Duration>,
 }
 
-struct Running {
-    setting: Setting,
+struct EventLoop {
+    config: WorldConfig,
     start: Instant,
     /// Where each broker finds each server.
     addresses: Vec<Vec<SocketAddr>>,
     ledger: Arc<Mutex<Ledger>>,
-    told: Receiver<Tell>,
+    commands: Receiver<WorldCommand>,
     poll: Poll,
     last_key: usize,
-    listeners: HashMap<usize, (Which, TcpListener)>,
-    links: HashMap<usize, Link>,
-    due: BinaryHeap<Reverse<(Duration, u64)>>,
-    what: HashMap<u64, Due>,
-    last_due: u64,
+    listeners: HashMap<usize, (Endpoint, TcpListener)>,
+    connections: HashMap<usize, Connection>,
+    timers: BinaryHeap<Reverse<(Duration, u64)>>,
+    timer_events: HashMap<u64, TimerEvent>,
+    last_timer: u64,
     models: Vec<ServerModel>,
     /// A server takes no connection before that: it fell over, or its process is not there.
-    down: Vec<Option<Duration>>,
+    down_until: Vec<Option<Duration>>,
     /// When each server's process started, in Unix milliseconds; 0 for long ago.
     since_ms: Vec<u64>,
-    list: Vec<Listed>,
-    index: u64,
+    list: Vec<ListedState>,
+    version: u64,
     /// What callers see: each version with what it says.
-    views: BTreeMap<u64, Vec<(Listed, u64)>>,
+    views: BTreeMap<u64, Vec<(ListedState, u64)>>,
     /// The newest version that has been told.
-    shown: u64,
-    late: Duration,
-    turn_away_until: Duration,
-    silent_until: Duration,
+    published: u64,
+    publish_delay: Duration,
+    reject_calls_until: Duration,
+    stalled_until: Duration,
     rng: ChaCha8Rng,
 }
 
-impl Link {
+impl Connection {
     /// Whether it is a watch on which something may still come.
-    fn speaks(&self) -> bool {
-        self.watching && self.silent.is_none()
+    fn is_live_watch(&self) -> bool {
+        self.is_watch && self.stalled_since.is_none()
     }
 }
 
-impl Running {
+impl EventLoop {
     fn new(
-        setting: Setting,
+        config: WorldConfig,
         start: Instant,
         addresses: Vec<Vec<SocketAddr>>,
         ledger: Arc<Mutex<Ledger>>,
-        told: Receiver<Tell>,
+        commands: Receiver<WorldCommand>,
     ) -> io::Result<Self> {
-        let list: Vec<Listed> =
-            setting.servers.iter().map(|s| if s.up { Listed::Up } else { Listed::Gone }).collect();
-        let models = setting.servers.iter().map(|_| ServerModel::new(setting.parameters, None)).collect();
-        let down = setting.servers.iter().map(|s| (!s.up).then_some(Duration::MAX)).collect();
-        let since_ms = vec![0; setting.servers.len()];
+        let list: Vec<ListedState> = config
+            .servers
+            .iter()
+            .map(|s| if s.initially_up { ListedState::Up } else { ListedState::Removed })
+            .collect();
+        let models = config.servers.iter().map(|_| ServerModel::new(config.parameters, None)).collect();
+        let down_until = config.servers.iter().map(|s| (!s.initially_up).then_some(Duration::MAX)).collect();
+        let since_ms = vec![0; config.servers.len()];
         let view = list.iter().map(|state| (*state, 0)).collect();
-        let mut running = Running {
-            rng: ChaCha8Rng::seed_from_u64(setting.seed),
-            setting,
+        let mut event_loop = EventLoop {
+            rng: ChaCha8Rng::seed_from_u64(config.seed),
+            config,
             start,
             addresses,
             ledger,
-            told,
+            commands,
             poll: Poll::new()?,
             last_key: 0,
             listeners: HashMap::new(),
-            links: HashMap::new(),
-            due: BinaryHeap::new(),
-            what: HashMap::new(),
-            last_due: 0,
+            connections: HashMap::new(),
+            timers: BinaryHeap::new(),
+            timer_events: HashMap::new(),
+            last_timer: 0,
             models,
-            down,
+            down_until,
             since_ms,
             list,
-            index: 1,
+            version: 1,
             views: BTreeMap::from([(1, view)]),
-            shown: 1,
-            late: Duration::ZERO,
-            turn_away_until: Duration::ZERO,
-            silent_until: Duration::ZERO,
+            published: 1,
+            publish_delay: Duration::ZERO,
+            reject_calls_until: Duration::ZERO,
+            stalled_until: Duration::ZERO,
         };
-        running.arm(BEAT, Due::Beat);
-        Ok(running)
+        event_loop.set_timer(HEARTBEAT_INTERVAL, TimerEvent::Heartbeat);
+        Ok(event_loop)
     }
 
     fn new_key(&mut self) -> usize {
@@ -305,33 +309,33 @@
         self.last_key
     }
 
-    fn arm(&mut self, at: Duration, what: Due) {
-        self.last_due += 1;
-        self.due.push(Reverse((at, self.last_due)));
-        self.what.insert(self.last_due, what);
+    fn set_timer(&mut self, at: Duration, event: TimerEvent) {
+        self.last_timer += 1;
+        self.timers.push(Reverse((at, self.last_timer)));
+        self.timer_events.insert(self.last_timer, event);
     }
 
     fn run(mut self) {
         let mut ready: Vec<Ready> = Vec::new();
         loop {
-            let pause = self.due.peek().map(|Reverse((at, _))| at.saturating_sub(self.start.elapsed()));
+            let pause = self.timers.peek().map(|Reverse((at, _))| at.saturating_sub(self.start.elapsed()));
             if self.poll.wait(pause, &mut ready).is_err() {
                 return;
             }
             let now = self.start.elapsed();
-            while let Ok(tell) = self.told.try_recv() {
-                if tell == Tell::End {
+            while let Ok(command) = self.commands.try_recv() {
+                if command == WorldCommand::Shutdown {
                     return;
                 }
-                self.heed(now, tell);
+                self.apply_command(now, command);
             }
             for report in std::mem::take(&mut ready) {
                 self.ready(now, report);
             }
-            while let Some(Reverse((_, id))) = self.due.peek().copied().filter(|due| due.0.0 <= now) {
-                self.due.pop();
-                if let Some(what) = self.what.remove(&id) {
-                    self.falls_due(now, what);
+            while let Some(Reverse((_, id))) = self.timers.peek().copied().filter(|due| due.0.0 <= now) {
+                self.timers.pop();
+                if let Some(event) = self.timer_events.remove(&id) {
+                    self.on_timer(now, event);
                 }
             }
         }
@@ -346,131 +350,146 @@
         if report.writable {
             self.write(key);
         }
-        if report.readable && self.links.contains_key(&key) {
-            let tile = matches!(self.links[&key].which, Which::Tile(_));
-            let lag = if tile { self.setting.read_lag.mul_f64(self.rng.random()) } else { Duration::ZERO };
-            if lag.is_zero() { self.read(now, key) } else { self.arm(now + lag, Due::Read(key)) }
+        if report.readable && self.connections.contains_key(&key) {
+            let tile = matches!(self.connections[&key].endpoint, Endpoint::Tile(_));
+            let lag = if tile { self.config.read_lag.mul_f64(self.rng.random()) } else { Duration::ZERO };
+            if lag.is_zero() { self.read(now, key) } else { self.set_timer(now + lag, TimerEvent::Read(key)) }
         }
     }
 
-    fn falls_due(&mut self, now: Duration, what: Due) {
-        match what {
-            Due::Read(key) => self.read(now, key),
-            Due::Answer(key, id, bytes) => {
+    fn on_timer(&mut self, now: Duration, event: TimerEvent) {
+        match event {
+            TimerEvent::Read(key) => self.read(now, key),
+            TimerEvent::SendResponse(key, id, bytes) => {
                 lock(&self.ledger).part_finished(key, &id);
-                self.send(key, &bytes);
+                self.queue_bytes(key, &bytes);
             }
-            Due::Push(version) => self.push(now, version),
-            Due::Beat => {
-                self.arm(now + BEAT, Due::Beat);
+            TimerEvent::PublishList(version) => self.publish_list(now, version),
+            TimerEvent::Heartbeat => {
+                self.set_timer(now + HEARTBEAT_INTERVAL, TimerEvent::Heartbeat);
                 let watching: Vec<usize> =
-                    self.links.iter().filter(|(_, l)| l.speaks()).map(|(key, _)| *key).collect();
-                watching.into_iter().for_each(|key| self.send(key, b"1\r\n\n\r\n"));
+                    self.connections.iter().filter(|(_, l)| l.is_live_watch()).map(|(key, _)| *key).collect();
+                watching.into_iter().for_each(|key| self.queue_bytes(key, b"1\r\n\n\r\n"));
             }
-            Due::Back => {
+            TimerEvent::DiscoveryResumes => {
                 let silent = |broker: usize| {
-                    let of = |link: &&Link| link.which == Which::Discovery(broker) && link.watching;
-                    self.links.values().filter(of).filter_map(|link| link.silent).min()
+                    let of = |connection: &&Connection| {
+                        connection.endpoint == Endpoint::Discovery(broker) && connection.is_watch
+                    };
+                    self.connections
+                        .values()
+                        .filter(of)
+                        .filter_map(|connection| connection.stalled_since)
+                        .min()
                 };
-                let since: Vec<_> = (0..self.setting.brokers).map(silent).collect();
+                let since: Vec<_> = (0..self.config.brokers).map(silent).collect();
                 for (broker, since) in since.into_iter().enumerate() {
                     match since {
-                        Some(since) => self.arm(since + SILENT_IS_TOLD, Due::Told(broker)),
-                        None => self.has(now, broker),
+                        Some(since) => {
+                            self.set_timer(since + DELIVERY_DEADLINE, TimerEvent::DeemedDelivered(broker))
+                        }
+                        None => self.on_agent_updated(now, broker),
                     }
                 }
             }
-            Due::Told(broker) => self.has(now, broker),
+            TimerEvent::DeemedDelivered(broker) => self.on_agent_updated(now, broker),
         }
     }
 
-    fn heed(&mut self, now: Duration, tell: Tell) {
-        match tell {
-            Tell::Behave(server, behaviour) => self.models[server].set_behaviour(behaviour),
-            Tell::Stop(server) => {
-                self.down[server] = Some(Duration::MAX);
-                self.reset(server);
+    fn apply_command(&mut self, now: Duration, command: WorldCommand) {
+        match command {
+            WorldCommand::SetBehaviour(server, behaviour) => self.models[server].set_behaviour(behaviour),
+            WorldCommand::StopServer(server) => {
+                self.down_until[server] = Some(Duration::MAX);
+                self.reset_server_connections(server);
             }
-            Tell::Start(server) => self.starts(now, server),
-            Tell::List(server, state) => {
+            WorldCommand::StartServer(server) => self.start_server(now, server),
+            WorldCommand::SetListed(server, state) => {
                 self.list[server] = state;
-                self.changed(now);
+                self.schedule_publish(now);
             }
-            Tell::Late(late) => self.late = late,
-            Tell::TurnAwayUntil(until) => self.turn_away_until = until,
-            Tell::SilentUntil(until) => {
-                self.silent_until = until;
-                let watches =
-                    self.links.values_mut().filter(|link| matches!(link.which, Which::Discovery(_)));
-                watches.for_each(|link| link.silent = link.silent.or(Some(now)));
-                self.arm(until, Due::Back);
+            WorldCommand::DelayListUpdates(late) => self.publish_delay = late,
+            WorldCommand::RejectCallsUntil(until) => self.reject_calls_until = until,
+            WorldCommand::StallDiscoveryUntil(until) => {
+                self.stalled_until = until;
+                let watches = self
+                    .connections
+                    .values_mut()
+                    .filter(|connection| matches!(connection.endpoint, Endpoint::Discovery(_)));
+                watches
+                    .for_each(|connection| connection.stalled_since = connection.stalled_since.or(Some(now)));
+                self.set_timer(until, TimerEvent::DiscoveryResumes);
             }
-            Tell::BrokerGone(broker) => lock(&self.ledger).forget_broker(broker),
-            Tell::BrokerStarts(broker) => self.has(now, broker),
-            Tell::End => {}
+            WorldCommand::BrokerStopped(broker) => lock(&self.ledger).forget_broker(broker),
+            WorldCommand::BrokerStarted(broker) => self.on_agent_updated(now, broker),
+            WorldCommand::Shutdown => {}
         }
     }
 
     /// A server's process starts, or comes back after it fell over.
-    fn starts(&mut self, now: Duration, server: usize) {
-        self.down[server] = None;
-        self.models[server] = ServerModel::new(self.setting.parameters, Some(now));
+    fn start_server(&mut self, now: Duration, server: usize) {
+        self.down_until[server] = None;
+        self.models[server] = ServerModel::new(self.config.parameters, Some(now));
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         self.since_ms[server] = unix.as_millis() as u64;
-        self.changed(now);
+        self.schedule_publish(now);
     }
 
-    fn changed(&mut self, now: Duration) {
-        self.index += 1;
+    fn schedule_publish(&mut self, now: Duration) {
+        self.version += 1;
         let view = self.list.iter().copied().zip(self.since_ms.iter().copied()).collect();
-        self.views.insert(self.index, view);
-        self.arm(now + self.late, Due::Push(self.index));
+        self.views.insert(self.version, view);
+        self.set_timer(now + self.publish_delay, TimerEvent::PublishList(self.version));
     }
 
     /// Resets all connections of a server, as its process's end would.
-    fn reset(&mut self, server: usize) {
-        let of: Vec<usize> =
-            self.links.iter().filter(|(_, l)| l.which == Which::Tile(server)).map(|(key, _)| *key).collect();
+    fn reset_server_connections(&mut self, server: usize) {
+        let of: Vec<usize> = self
+            .connections
+            .iter()
+            .filter(|(_, l)| l.endpoint == Endpoint::Tile(server))
+            .map(|(key, _)| *key)
+            .collect();
         for key in of {
-            self.drop_link(key, true);
+            self.close_connection(key, true);
         }
     }
 
-    fn drop_link(&mut self, key: usize, reset: bool) {
-        let Some(link) = self.links.remove(&key) else { return };
-        self.poll.remove(&link.stream);
-        if let (Which::Discovery(broker), Some(_)) = (link.which, link.silent) {
+    fn close_connection(&mut self, key: usize, reset: bool) {
+        let Some(connection) = self.connections.remove(&key) else { return };
+        self.poll.remove(&connection.stream);
+        if let (Endpoint::Discovery(broker), Some(_)) = (connection.endpoint, connection.stalled_since) {
             // What that watch missed is no longer missed: the agent has it.
-            self.has(self.start.elapsed(), broker);
+            self.on_agent_updated(self.start.elapsed(), broker);
         }
         if reset {
-            let _ = socket2::SockRef::from(&link.stream).set_linger(Some(Duration::ZERO));
+            let _ = socket2::SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
         }
         lock(&self.ledger).connection_closed(key);
     }
 
     fn accept(&mut self, now: Duration, key: usize) {
         loop {
-            let Some((which, listener)) = self.listeners.get(&key) else { return };
-            let (which, accepted) = (*which, listener.accept());
+            let Some((endpoint, listener)) = self.listeners.get(&key) else { return };
+            let (endpoint, accepted) = (*endpoint, listener.accept());
             let Ok((stream, _)) = accepted else { break };
             let fit = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
             if fit.is_err() {
                 continue;
             }
-            if let Which::Tile(server) = which {
-                let is_down = match self.down[server] {
+            if let Endpoint::Tile(server) = endpoint {
+                let is_down = match self.down_until[server] {
                     Some(until) if until > now => true,
                     Some(_) => {
-                        self.starts(now, server);
+                        self.start_server(now, server);
                         false
                     }
                     None => false,
                 };
-                let open = self.links.values().filter(|l| l.which == which).count();
+                let open = self.connections.values().filter(|l| l.endpoint == endpoint).count();
                 let mut ledger = lock(&self.ledger);
                 let counts = ledger.counts_mut(now, server);
-                if is_down || open >= self.setting.parameters.max_connections {
+                if is_down || open >= self.config.parameters.max_connections {
                     counts.refused_connections += 1;
                     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                     continue;
@@ -480,10 +499,17 @@
             }
             let key = self.new_key();
             if self.poll.add(&stream, key, true, false).is_ok() {
-                let (bytes, out) = (Vec::new(), Vec::new());
-                self.links.insert(
+                self.connections.insert(
                     key,
-                    Link { which, stream, bytes, out, begun: None, watching: false, silent: None },
+                    Connection {
+                        endpoint,
+                        stream,
+                        read_buffer: Vec::new(),
+                        write_buffer: Vec::new(),
+                        frame_started: None,
+                        is_watch: false,
+                        stalled_since: None,
+                    },
                 );
             }
         }
@@ -493,79 +519,81 @@
     }
 
     /// Queues bytes on a connection and writes what it takes.
-    fn send(&mut self, key: usize, bytes: &[u8]) {
-        if let Some(link) = self.links.get_mut(&key) {
-            link.out.extend_from_slice(bytes);
+    fn queue_bytes(&mut self, key: usize, bytes: &[u8]) {
+        if let Some(connection) = self.connections.get_mut(&key) {
+            connection.write_buffer.extend_from_slice(bytes);
             self.write(key);
         }
     }
 
     fn write(&mut self, key: usize) {
-        let Some(link) = self.links.get_mut(&key) else { return };
-        while !link.out.is_empty() {
-            match link.stream.write(&link.out) {
-                Ok(written) => drop(link.out.drain(..written)),
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        while !connection.write_buffer.is_empty() {
+            match connection.stream.write(&connection.write_buffer) {
+                Ok(written) => drop(connection.write_buffer.drain(..written)),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                Err(_) => return self.drop_link(key, false),
+                Err(_) => return self.close_connection(key, false),
             }
         }
-        self.ask(key);
+        self.rearm(key);
     }
 
-    fn ask(&mut self, key: usize) {
-        let Some(link) = self.links.get(&key) else { return };
-        let _ = self.poll.rearm(&link.stream, key, true, !link.out.is_empty());
+    fn rearm(&mut self, key: usize) {
+        let Some(connection) = self.connections.get(&key) else { return };
+        let _ = self.poll.rearm(&connection.stream, key, true, !connection.write_buffer.is_empty());
     }
 
     fn read(&mut self, now: Duration, key: usize) {
-        let Some(link) = self.links.get_mut(&key) else { return };
+        let Some(connection) = self.connections.get_mut(&key) else { return };
         let mut buffer = [0; 16 * 1024];
         let over = loop {
-            match link.stream.read(&mut buffer) {
+            match connection.stream.read(&mut buffer) {
                 Ok(0) => break true,
-                Ok(read) => link.bytes.extend_from_slice(&buffer[..read]),
+                Ok(read) => connection.read_buffer.extend_from_slice(&buffer[..read]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break false,
                 // The network has ended it, or its broker's process has: nobody waits for what came before.
-                Err(_) => return self.drop_link(key, false),
+                Err(_) => return self.close_connection(key, false),
             }
         };
-        match link.which {
-            Which::Tile(server) => self.frames(now, key, server),
-            Which::Discovery(broker) => self.call_for_list(now, key, broker),
+        match connection.endpoint {
+            Endpoint::Tile(server) => self.process_frames(now, key, server),
+            Endpoint::Discovery(broker) => self.on_discovery_call(now, key, broker),
         }
-        let Some(link) = self.links.get(&key) else { return };
+        let Some(connection) = self.connections.get(&key) else { return };
         if over {
-            if matches!(link.which, Which::Tile(_)) && !link.bytes.is_empty() {
-                let what = format!("a frame of {} bytes so far was never ended", link.bytes.len());
+            if matches!(connection.endpoint, Endpoint::Tile(_)) && !connection.read_buffer.is_empty() {
+                let what =
+                    format!("a frame of {} bytes so far was never ended", connection.read_buffer.len());
                 lock(&self.ledger).record_violation(now, Rule::CutFrame, what);
             }
-            self.drop_link(key, false);
+            self.close_connection(key, false);
         } else {
-            self.ask(key);
+            self.rearm(key);
         }
     }
 
     /// Takes the whole frames that have come on a connection.
-    fn frames(&mut self, now: Duration, key: usize, server: usize) {
+    fn process_frames(&mut self, now: Duration, key: usize, server: usize) {
         loop {
-            let Some(link) = self.links.get_mut(&key) else { return };
-            let Some((length, rest)) = link.bytes.split_first_chunk::<4>() else {
-                link.begun = (!link.bytes.is_empty()).then(|| link.begun.unwrap_or(now));
+            let Some(connection) = self.connections.get_mut(&key) else { return };
+            let Some((length, rest)) = connection.read_buffer.split_first_chunk::<4>() else {
+                connection.frame_started =
+                    (!connection.read_buffer.is_empty()).then(|| connection.frame_started.unwrap_or(now));
                 return;
             };
             let length = u32::from_be_bytes(*length) as usize;
-            let begun = link.begun.unwrap_or(now);
+            let begun = connection.frame_started.unwrap_or(now);
             if length == 0 || length > MAX_FRAME_BYTES {
-                return self.misplaced(now, key, "a frame of no use".to_owned());
+                return self.reject_frame(now, key, "a frame of no use".to_owned());
             }
             let Some(frame) = rest.get(..length).map(<[u8]>::to_vec) else {
-                link.begun = Some(begun);
+                connection.frame_started = Some(begun);
                 return;
             };
-            link.bytes.drain(..4 + length);
-            link.begun = None;
+            connection.read_buffer.drain(..4 + length);
+            connection.frame_started = None;
             match frame[0] {
-                b'q' => self.call(now, begun, key, server, &frame[1..]),
+                b'q' => self.on_call(now, begun, key, server, &frame[1..]),
                 b'c' => {
                     let id = String::from_utf8_lossy(&frame[1..]).into_owned();
                     lock(&self.ledger).part_finished(key, &id);
@@ -573,35 +601,35 @@
                 b'p' | b'l' => {
                     lock(&self.ledger).counts_mut(now, server).probes += 1;
                     let answer: &[u8] = if frame[0] == b'p' { b"pserved" } else { b"l-" };
-                    self.send(key, &framed(answer));
+                    self.queue_bytes(key, &encode_frame(answer));
                 }
-                _ => return self.misplaced(now, key, "no such frame".to_owned()),
+                _ => return self.reject_frame(now, key, "no such frame".to_owned()),
             }
         }
     }
 
-    fn misplaced(&mut self, now: Duration, key: usize, what: String) {
-        lock(&self.ledger).record_violation(now, Rule::Misplaced, what);
-        self.drop_link(key, false);
+    fn reject_frame(&mut self, now: Duration, key: usize, details: String) {
+        lock(&self.ledger).record_violation(now, Rule::Misplaced, details);
+        self.close_connection(key, false);
     }
 
-    fn call(&mut self, now: Duration, begun: Duration, key: usize, server: usize, rest: &[u8]) {
+    fn on_call(&mut self, now: Duration, begun: Duration, key: usize, server: usize, rest: &[u8]) {
         let parts = match parse_call(rest) {
             Ok(parts) => parts,
-            Err(fault) => return self.misplaced(now, key, fault.to_string()),
+            Err(fault) => return self.reject_frame(now, key, fault.to_string()),
         };
         for part in parts {
-            let named = PartRef { id: &part.id, shard: part.shard, key: part.key.as_deref() };
-            self.notice_reset(&part.id);
-            lock(&self.ledger).part_received(now, begun, server, key, named);
-            let (cell, cells) = (self.setting.servers[server].cell, self.setting.cells.max(1));
-            let holds = (0..self.setting.width).any(|n| (part.shard + n) % cells == cell % cells);
+            let part_ref = PartRef { id: &part.id, shard: part.shard, key: part.key.as_deref() };
+            self.detect_reset(&part.id);
+            lock(&self.ledger).part_received(now, begun, server, key, part_ref);
+            let (cell, cells) = (self.config.servers[server].cell, self.config.cells.max(1));
+            let holds = (0..self.config.width).any(|n| (part.shard + n) % cells == cell % cells);
             if !holds {
                 let what = format!("{} of shard {} went to cell {cell}", part.id, part.shard);
                 lock(&self.ledger).record_violation(now, Rule::Misplaced, what);
             }
             let cold = self.models[server].relative_speed(now) < 1.0;
-            let (work, taken) = self.models[server].accept_part(now, self.rng.random());
+            let (work, outcome) = self.models[server].accept_part(now, self.rng.random());
             let cold_load = self.models[server].cold_load(now);
             let mut ledger = lock(&self.ledger);
             let counts = ledger.counts_mut(now, server);
@@ -609,7 +637,7 @@
             counts.cold_work += if cold { work } else { 0.0 };
             counts.cold_load = counts.cold_load.max(cold_load);
             let id = &part.id;
-            let (at, answer) = match taken {
+            let (at, answer) = match outcome {
                 PartOutcome::Served(at) => {
                     let value = part_value(part.shard, part.text);
                     (at, format!("a{id} served {} -\n{value}", part.shard + 1))
@@ -631,136 +659,140 @@
                 PartOutcome::ConnectionClosed => {
                     counts.lost += 1;
                     drop(ledger);
-                    return self.drop_link(key, false);
+                    return self.close_connection(key, false);
                 }
                 PartOutcome::ServerCrashed => {
                     counts.lost += 1;
-                    let name = &self.setting.servers[server].name;
+                    let name = &self.config.servers[server].name;
                     ledger.record_violation(
                         now,
                         Rule::ColdFell,
                         format!("{name} fell over while it was cold"),
                     );
                     drop(ledger);
-                    self.down[server] = Some(now + self.setting.parameters.restart_delay);
-                    return self.reset(server);
+                    self.down_until[server] = Some(now + self.config.parameters.restart_delay);
+                    return self.reset_server_connections(server);
                 }
             };
-            if matches!(taken, PartOutcome::Served(_) | PartOutcome::Corrupted(_)) {
-                ledger.part_executed(now, named);
+            if matches!(outcome, PartOutcome::Served(_) | PartOutcome::Corrupted(_)) {
+                ledger.part_executed(now, part_ref);
             }
             drop(ledger);
-            let bytes = framed(answer.as_bytes());
-            self.arm(at, Due::Answer(key, part.id, bytes));
+            let bytes = encode_frame(answer.as_bytes());
+            self.set_timer(at, TimerEvent::SendResponse(key, part.id, bytes));
         }
     }
 
     /// A part whose connection the network has reset is over, also where this server has yet to look. What its
     /// broker ended by a close or said in a frame is over once it is read.
-    fn notice_reset(&mut self, id: &str) {
+    fn detect_reset(&mut self, id: &str) {
         let Some(on) = lock(&self.ledger).connection_of(id) else { return };
-        let Some(link) = self.links.get(&on) else { return };
+        let Some(connection) = self.connections.get(&on) else { return };
         // What came before a reset may stand unread before it, so reading would not show it.
-        if matches!(link.stream.take_error(), Ok(Some(error)) if error.kind() == io::ErrorKind::ConnectionReset)
+        if matches!(connection.stream.take_error(), Ok(Some(error)) if error.kind() == io::ErrorKind::ConnectionReset)
         {
-            self.drop_link(on, false);
+            self.close_connection(on, false);
         }
     }
 
-    fn call_for_list(&mut self, now: Duration, key: usize, broker: usize) {
-        let Some(link) = self.links.get_mut(&key).filter(|link| !link.watching) else { return };
-        if !link.bytes.windows(4).any(|four| four == b"\r\n\r\n") {
+    fn on_discovery_call(&mut self, now: Duration, key: usize, broker: usize) {
+        let Some(connection) = self.connections.get_mut(&key).filter(|connection| !connection.is_watch)
+        else {
+            return;
+        };
+        if !connection.read_buffer.windows(4).any(|four| four == b"\r\n\r\n") {
             return;
         }
-        link.bytes.clear();
-        if now < self.silent_until {
-            link.silent = Some(now);
+        connection.read_buffer.clear();
+        if now < self.stalled_until {
+            connection.stalled_since = Some(now);
             return;
         }
-        let turned_away = now < self.turn_away_until;
+        let rejected = now < self.reject_calls_until;
         {
             let mut ledger = lock(&self.ledger);
             let calls = ledger.list_calls.entry(now.as_secs()).or_default();
             calls.received += 1;
-            calls.rejected += u32::from(turned_away);
+            calls.rejected += u32::from(rejected);
         }
-        if turned_away {
-            self.send(key, b"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-            return self.drop_link(key, false);
+        if rejected {
+            self.queue_bytes(key, b"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+            return self.close_connection(key, false);
         }
-        link.watching = true;
-        self.send(key, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        self.tell_list(now, key, broker);
+        connection.is_watch = true;
+        self.queue_bytes(key, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        self.write_list(now, key, broker);
     }
 
-    fn push(&mut self, now: Duration, version: u64) {
-        if version <= self.shown {
+    fn publish_list(&mut self, now: Duration, version: u64) {
+        if version <= self.published {
             return;
         }
-        self.shown = version;
+        self.published = version;
         self.views = self.views.split_off(&version);
-        (0..self.setting.brokers).for_each(|broker| self.has(now, broker));
-        let watching = self.links.iter().filter(|(_, link)| link.speaks());
-        let watching: Vec<(usize, Which)> = watching.map(|(key, link)| (*key, link.which)).collect();
+        (0..self.config.brokers).for_each(|broker| self.on_agent_updated(now, broker));
+        let watching = self.connections.iter().filter(|(_, connection)| connection.is_live_watch());
+        let watching: Vec<(usize, Endpoint)> =
+            watching.map(|(key, connection)| (*key, connection.endpoint)).collect();
         for (key, which) in watching {
-            if let Which::Discovery(broker) = which {
-                self.tell_list(now, key, broker);
+            if let Endpoint::Discovery(broker) = which {
+                self.write_list(now, key, broker);
             }
         }
     }
 
     /// What a broker's agent has counts as told, unless it is silent, or a watch of that broker is.
-    fn has(&mut self, now: Duration, broker: usize) {
-        let missed = |link: &Link| {
-            let silent = link.silent.is_some_and(|since| now < since + SILENT_IS_TOLD);
-            link.which == Which::Discovery(broker) && link.watching && silent
+    fn on_agent_updated(&mut self, now: Duration, broker: usize) {
+        let missed = |connection: &Connection| {
+            let silent = connection.stalled_since.is_some_and(|since| now < since + DELIVERY_DEADLINE);
+            connection.endpoint == Endpoint::Discovery(broker) && connection.is_watch && silent
         };
-        if self.setting.pushed && now >= self.silent_until && !self.links.values().any(missed) {
-            self.tells(now, broker);
+        if self.config.pushed && now >= self.stalled_until && !self.connections.values().any(missed) {
+            self.mark_delivered(now, broker);
         }
     }
 
     /// A broker counts as told what the list shows now.
-    fn tells(&mut self, now: Duration, broker: usize) {
-        let Some(view) = self.views.get(&self.shown) else { return };
+    fn mark_delivered(&mut self, now: Duration, broker: usize) {
+        let Some(view) = self.views.get(&self.published) else { return };
         let mut ledger = lock(&self.ledger);
         for (server, (state, _)) in view.iter().enumerate() {
-            ledger.set_drain_known(now, broker, server, *state != Listed::Up);
+            ledger.set_drain_known(now, broker, server, *state != ListedState::Up);
         }
     }
 
     /// Writes the list as it is shown now to a watch: what is written counts as told.
-    fn tell_list(&mut self, now: Duration, key: usize, broker: usize) {
-        let Some(view) = self.views.get(&self.shown).cloned() else { return };
+    fn write_list(&mut self, now: Duration, key: usize, broker: usize) {
+        let Some(view) = self.views.get(&self.published).cloned() else { return };
         let mut endpoints = Vec::new();
-        self.tells(now, broker);
+        self.mark_delivered(now, broker);
         for (server, (state, since)) in view.into_iter().enumerate() {
-            let placed = &self.setting.servers[server];
+            let placed = &self.config.servers[server];
             let status = match state {
-                Listed::Up => "up",
-                Listed::Draining => "draining",
-                Listed::Gone => continue,
+                ListedState::Up => "up",
+                ListedState::Draining => "draining",
+                ListedState::Removed => continue,
             };
             let address = self.addresses[broker][server].to_string();
             endpoints.push(json!({"name": placed.name, "address": address, "zone": placed.zone,
                 "group": placed.cell, "status": status, "weight": 1.0, "since_ms": since}));
         }
-        let list = json!({"index": self.shown, "snapshot": true, "endpoints": endpoints});
-        let (text, most) = match self.setting.indented {
-            true => (format!("\n{list:#}\n"), SMALL_CHUNK),
+        let list = json!({"index": self.published, "snapshot": true, "endpoints": endpoints});
+        let (text, most) = match self.config.indented {
+            true => (format!("\n{list:#}\n"), SMALL_CHUNK_BYTES),
             false => (format!("{list}\n"), usize::MAX),
         };
         for piece in text.as_bytes().chunks(most) {
             let mut chunk = format!("{:x}\r\n", piece.len()).into_bytes();
             chunk.extend_from_slice(piece);
             chunk.extend_from_slice(b"\r\n");
-            self.send(key, &chunk);
+            self.queue_bytes(key, &chunk);
         }
     }
 }
 
 /// A frame with its length before it.
-fn framed(frame: &[u8]) -> Vec<u8> {
+fn encode_frame(frame: &[u8]) -> Vec<u8> {
     let mut bytes = u32::try_from(frame.len()).unwrap_or(u32::MAX).to_be_bytes().to_vec();
     bytes.extend_from_slice(frame);
     bytes
