--- a/crates/synth/src/heap.rs
+++ b/crates/synth/src/heap.rs
@@ -1,38 +1,39 @@
-//! What is due when, in virtual time; what is due together comes in the order in which it was put in.
+//! A queue of events in virtual time. Events that are due at the same time come in the order of insertion.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Things by the time they are due.
-pub struct Heap<T> {
+/// Events ordered by due time.
+pub struct EventQueue<T> {
+    /// Due time, insertion number and slot of each event.
     due: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    /// The things themselves, by place; places that are free again.
-    things: Vec<Option<T>>,
-    free: Vec<usize>,
-    order: u64,
+    /// The events by slot; `None` for a free slot.
+    slots: Vec<Option<T>>,
+    free_slots: Vec<usize>,
+    inserted: u64,
 }
 
-impl<T> Heap<T> {
-    /// With nothing in it.
+impl<T> EventQueue<T> {
+    /// An empty queue.
     pub fn new() -> Self {
-        Heap { due: BinaryHeap::new(), things: Vec::new(), free: Vec::new(), order: 0 }
+        EventQueue { due: BinaryHeap::new(), slots: Vec::new(), free_slots: Vec::new(), inserted: 0 }
     }
 
-    /// Puts in what is due at a time, in nanoseconds.
-    pub fn put(&mut self, at: u64, thing: T) {
-        let place = self.free.pop().unwrap_or_else(|| {
-            self.things.push(None);
-            self.things.len() - 1
+    /// Inserts an event that is due at a time in nanoseconds.
+    pub fn push(&mut self, at: u64, event: T) {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
+            self.slots.push(None);
+            self.slots.len() - 1
         });
-        self.things[place] = Some(thing);
-        self.order += 1;
-        self.due.push(Reverse((at, self.order, place)));
+        self.slots[slot] = Some(event);
+        self.inserted += 1;
+        self.due.push(Reverse((at, self.inserted, slot)));
     }
 
-    /// Takes out what is due first.
-    pub fn take(&mut self) -> Option<(u64, T)> {
-        let Reverse((at, _, place)) = self.due.pop()?;
-        self.free.push(place);
-        self.things[place].take().map(|thing| (at, thing))
+    /// Removes the earliest event, with its due time in nanoseconds.
+    pub fn pop(&mut self) -> Option<(u64, T)> {
+        let Reverse((at, _, slot)) = self.due.pop()?;
+        self.free_slots.push(slot);
+        self.slots[slot].take().map(|event| (at, event))
     }
 }
--- a/crates/synth/src/lib.rs
+++ b/crates/synth/src/lib.rs
@@ -1,11 +1,11 @@
-//! Stand-in traffic in virtual time: the real cores of several brokers, model tile servers that slow down,
-//! hang, fail, drain and restart, clients that come back, and a list of servers that reaches each broker a
-//! little later. The same seed gives the same bytes.
+//! Synthetic traces from a simulation in virtual time. It runs the real cores of several brokers against model
+//! tile servers that slow down, hang, fail, drain and restart, clients that retry, and a server list that
+//! reaches each broker with its own delay. The same seed gives the same bytes.
 //!
-//! It is made to fill traces with all that a recorder meets; it is no measure of how well anything is served.
+//! The traces cover the kinds of records that a recorder meets. They are no measure of service quality.
 
 pub mod fleet;
 mod heap;
 pub mod world;
 
-pub use world::{Made, Plan, Trouble, run};
+pub use world::{Fault, RequestOutcomes, SynthOptions, SynthOutput, run};
--- a/crates/synth/tests/tools.rs
+++ b/crates/synth/tests/tools.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use badgergauge_core::{Action, Event, Time};
-use badgergauge_synth::{Made, Plan, Trouble, run};
+use badgergauge_synth::{Fault, SynthOptions, SynthOutput, run};
 use badgergauge_trace::mask::Mask;
 use badgergauge_trace::merge::{MergeError, MergedStream, trace_files};
 use badgergauge_trace::replay::Unverifiable;
@@ -35,26 +35,19 @@
     }
 }
 
-fn make(folder: &Path, plan: &Plan) -> Made {
+fn make(folder: &Path, plan: &SynthOptions) -> SynthOutput {
     fs::create_dir_all(folder).expect("a folder");
     run(plan, |name| File::create_new(folder.join(name))).expect("made")
 }
 
-fn plan(seconds: u64) -> Plan {
-    Plan {
+fn plan(seconds: u64) -> SynthOptions {
+    SynthOptions {
         duration: Duration::from_secs(seconds),
         rate: 60.0,
-        trouble_every: Duration::from_secs(2),
+        fault_interval: Duration::from_secs(2),
         // Lists change most, as clocks are compared by them; a broker is killed, and its clients come back.
-        troubles: vec![
-            Trouble::Drain,
-            Trouble::Crash,
-            Trouble::Broker,
-            Trouble::Drain,
-            Trouble::Fail,
-            Trouble::Slow,
-        ],
-        ..Plan::default()
+        faults: vec![Fault::Drain, Fault::Crash, Fault::BrokerKill, Fault::Drain, Fault::Fail, Fault::Slow],
+        ..SynthOptions::default()
     }
 }
 
@@ -93,7 +86,7 @@
                 == fs::read(folder.at("b").join(name)).expect("b")
         );
     }
-    let other = make(&folder.at("c"), &Plan { seed: 8, ..plan(6) });
+    let other = make(&folder.at("c"), &SynthOptions { seed: 8, ..plan(6) });
     assert_ne!(a.decisions, other.decisions);
 }
 
@@ -141,17 +134,23 @@
     let skew = Duration::from_millis(40);
     let made = make(
         &folder.at("t"),
-        &Plan { skew, rate: 150.0, servers: 8, troubles: vec![Trouble::Drain, Trouble::Fail], ..plan(24) },
+        &SynthOptions {
+            max_clock_skew: skew,
+            rate: 150.0,
+            servers: 8,
+            faults: vec![Fault::Drain, Fault::Fail],
+            ..plan(24)
+        },
     );
     let mut merged = open(&[folder.at("t")]);
     let alignment = tools::align(open(&[folder.at("t")]), &mut no_progress()).expect("read");
     assert_eq!(alignment.causality_violations, 0);
     assert!(alignment.retries > 0);
-    for (offset, skew) in alignment.offsets.iter().zip(&made.skews) {
+    for (offset, skew) in alignment.offsets.iter().zip(&made.clock_skews) {
         let wrong = (offset.nanos + skew).abs();
         assert!(wrong <= offset.error.unwrap_or(0).max(2_000_000), "{offset:?} for {skew}");
     }
-    assert!(made.skews.iter().any(|skew| skew.abs() > 5_000_000), "{:?}", made.skews);
+    assert!(made.clock_skews.iter().any(|skew| skew.abs() > 5_000_000), "{:?}", made.clock_skews);
     merged.apply_offsets(&alignment.offsets.iter().map(|offset| offset.nanos).collect::<Vec<_>>());
     tools::write_all(merged, &folder.at("all.bgt"), &mut no_progress()).expect("written");
     // First tries that were refused, and their repeats, in the order of the merged file.
@@ -310,7 +309,7 @@
 #[test]
 fn a_story_is_the_same_by_the_index_and_by_a_full_scan() {
     let folder = Folder::new("explain");
-    make(&folder.at("t"), &Plan { rate: 110.0, servers: 8, ..plan(20) });
+    make(&folder.at("t"), &SynthOptions { rate: 110.0, servers: 8, ..plan(20) });
     let paths = trace_files(&[folder.at("t")]).expect("there");
     // A title-flag that was tried at two brokers.
     let (mut merged, mut tries) = (open(&[folder.at("t")]), BTreeMap::<String, Vec<(u32, String)>>::new());
@@ -412,7 +411,7 @@
 #[test]
 fn a_repaired_file_is_sound_and_holds_what_was_whole() {
     let folder = Folder::new("repair");
-    let made = make(&folder.at("t"), &Plan { brokers: 1, troubles: vec![], ..plan(20) });
+    let made = make(&folder.at("t"), &SynthOptions { brokers: 1, faults: vec![], ..plan(20) });
     let path = folder.at("t").join(&made.files[0]);
     let bytes = fs::read(&path).expect("there");
     let cut = folder.at("cut.bgt");
--- a/src/bin/badgergauge/trace.rs
+++ b/src/bin/badgergauge/trace.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use badgergauge_synth::Plan;
+use badgergauge_synth::{RequestOutcomes, SynthOptions};
 use badgergauge_trace::align::Offset;
 use badgergauge_trace::describe::{Describer, Line, REASONS};
 use badgergauge_trace::mask::Mask;
@@ -367,25 +367,25 @@
         return Err(invalid_input("--rate: must be greater than 0 and at most 10000".into()));
     }
     fs::create_dir_all(&arguments.out).map_err(write_error)?;
-    let plan = Plan {
+    let options = SynthOptions {
         duration: arguments.duration,
         brokers: arguments.brokers.into(),
         servers: arguments.servers.into(),
         rate: arguments.rate,
-        skew: arguments.skew,
-        trouble_every: arguments.trouble_every,
+        max_clock_skew: arguments.skew,
+        fault_interval: arguments.trouble_every,
         seed: arguments.seed,
-        ..Plan::default()
+        ..SynthOptions::default()
     };
     let create = |name: &str| {
         let file = File::options().write(true).create_new(true).open(arguments.out.join(name))?;
         Ok(BufWriter::new(file))
     };
-    let made = badgergauge_synth::run(&plan, create).map_err(write_error)?;
-    let [whole, partial, refused, failed, nobody] = made.ends;
-    let report = json!({"files": made.files, "steps": made.steps, "decisions": made.decisions,
-        "tries": made.tries, "whole": whole, "partial": partial, "refused": refused, "failed": failed,
-        "nobody": nobody, "skewsNs": made.skews});
+    let output = badgergauge_synth::run(&options, create).map_err(write_error)?;
+    let RequestOutcomes { complete, partial, refused, failed, no_broker } = output.outcomes;
+    let report = json!({"files": output.files, "steps": output.steps, "decisions": output.decisions,
+        "tries": output.requests, "whole": complete, "partial": partial, "refused": refused, "failed": failed,
+        "nobody": no_broker, "skewsNs": output.clock_skews});
     println!("{report}");
     Ok(DONE)
 }
