--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -1,149 +1,154 @@
-//! What the stand-ins saw, by second and server, and the rules of the protocol that they saw broken. No I/O.
+//! Counters of the stand-ins by second and server, and a checker that finds violations of the protocol by
+//! brokers. No I/O.
 
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// The protocol's slack: every time limit is so much longer.
+/// Tolerance that the protocol adds to every time limit.
 pub const TIME_LIMIT_SLACK: Duration = Duration::from_millis(50);
-/// Nothing new may go to a draining server so long after the broker was told.
+/// Time after learning of a drain during which a broker may still send new parts to the draining server.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
-/// Counts of one server in one second.
+/// Counters of one server in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerCounts {
-    /// Connections that came up.
+    /// Connections accepted.
     pub handshakes: u32,
-    /// Connections that were held at the most.
+    /// Largest number of connections open at once.
     pub max_open: u32,
-    /// Connections that were closed at once, as too many were held.
+    /// Connections closed on arrival, as the server was down or had too many open.
     pub refused_connections: u32,
-    /// Parts that came.
+    /// Parts received.
     pub parts: u32,
-    /// Parts that were turned away.
+    /// Parts rejected.
     pub rejected: u32,
     /// Parts that failed or were never answered.
     pub lost: u32,
-    /// Work that came to it while it was cold, in seconds of a warm worker.
+    /// Work received while the server was cold, in seconds of a warm worker.
     pub cold_work: f64,
-    /// The highest share of its joint limit that a cold one was under; over 1 it fell.
+    /// Highest load while the server was cold, as a share of the load that crashes it; above 1 it crashed.
     pub cold_load: f64,
-    /// Probes.
+    /// Probes received.
     pub probes: u32,
 }
 
-/// ListCalls for the list in one second.
+/// Counters of the calls for the server list in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListCalls {
-    /// ListCalls that came.
+    /// Calls received.
     pub received: u32,
-    /// ListCalls that were turned away.
+    /// Calls rejected.
     pub rejected: u32,
 }
 
-/// The rules that stand-ins and clients can see broken.
+/// The rules that stand-ins, clients and the test harness check. The variants' names are written to the
+/// records of runs, so they must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// A part was out twice at once.
+    /// A part was in flight twice at the same time.
     SecondCopy,
-    /// A keyed part ran again after its window, or a part of an unsafe class at all.
+    /// A keyed part was executed again after its idempotency window, or a part of an unsafe class was
+    /// executed again at all.
     Doubled,
-    /// A part went to a server that the broker knew was draining.
+    /// A part was sent to a server that the broker knew to be draining.
     Drained,
-    /// A cold server fell over.
+    /// A cold server crashed under its load.
     ColdFell,
-    /// A frame was begun and never ended.
+    /// A connection was closed in the middle of a frame.
     CutFrame,
-    /// A frame made no sense, or a part went to a server that does not hold its shard.
+    /// A frame was invalid, or a part was sent to a server that does not hold its shard.
     Misplaced,
-    /// A request had no final answer in its time, or more than one.
+    /// A request had no final answer before its deadline, or more than one.
     NoAnswer,
-    /// An answer held what no server made for it, or was marked whole and was not.
+    /// An answer contained a value that no server returned for it, or was marked complete and was not.
     WrongAnswer,
-    /// A broker ended by itself or did not start.
+    /// A broker exited unexpectedly or did not start.
     Crashed,
-    /// A broker that was upgraded or drained refused a request, or a connection.
+    /// A broker refused a request or a connection during an upgrade or a drain.
     Refused,
-    /// The process that was to take over in an upgrade did not say in time that it takes clients.
+    /// The successor process of an upgrade did not report in time that it was ready.
     NotReady,
-    /// A broker that was told to drain went on taking clients, or did not come back after its drain.
+    /// A broker kept accepting clients during a drain, or did not return to service after it.
     NotDrained,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// When.
+    /// When it was seen, since the start of the run.
     pub at: Duration,
-    /// Which.
+    /// The violated rule.
     pub rule: Rule,
-    /// What was seen.
+    /// What was seen, for a reader.
     pub details: String,
 }
 
-/// A part as its call named it.
+/// A part as its call identifies it.
 #[derive(Clone, Copy, Debug)]
 pub struct PartRef<'a> {
-    /// Its id: the query's, a dot, the shard.
+    /// Its id: the query's id, a dot and the shard.
     pub id: &'a str,
     /// The shard.
     pub shard: u32,
-    /// The query's idempotency key, in a keyed class.
+    /// The query's idempotency key, if its class is keyed.
     pub key: Option<&'a str>,
 }
 
-/// All that was seen.
+/// The counters and violations of a run.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// Counts by second and server.
+    /// Counters by second and server.
     pub server_counts: BTreeMap<(u64, usize), ServerCounts>,
-    /// ListCalls for the list by second.
+    /// Calls for the server list by second.
     pub list_calls: BTreeMap<u64, ListCalls>,
-    /// Rules that were broken.
+    /// Violations, in the order in which they were seen.
     pub violations: Vec<Violation>,
-    /// Keyed parts run again inside their window, which the servers make harmless.
+    /// Number of times that a keyed part was executed again within its window, where the servers deduplicate
+    /// it.
     pub reruns_in_window: u32,
-    /// How long a key is known after its part ran first.
+    /// How long servers remember an idempotency key after its part was first executed.
     pub idempotency_window: Duration,
-    /// Parts that are out, by id: on which connection.
+    /// Connection of each part in flight, by the part's id.
     in_flight: HashMap<String, usize>,
-    /// When each part with an effect first ran, by its key or its client's query.
+    /// When each part of a keyed or unsafe class was first executed, by idempotency key or client query, and
+    /// shard.
     first_executed: HashMap<(String, u32), Duration>,
-    /// When each broker was told that a server drains.
+    /// When a broker learned that a server drains, by broker and server.
     drain_known_since: HashMap<(usize, usize), Duration>,
 }
 
-/// The broker that an id names: ids of the harness begin with `b` and its number.
+/// The index of the broker that sent a part: the harness's ids begin with `b` and that index.
 pub fn broker_index(id: &str) -> Option<usize> {
     id.strip_prefix('b')?.split('-').next()?.parse().ok()
 }
 
-/// The start of the word in an id that names the client's query, where its class is unsafe: all of a client's requests for
-/// that query share it.
+/// Prefix of an id's second field, `b0-uQUERY-...`, in an unsafe class. All requests of a client for the same
+/// query share that field.
 pub const UNSAFE_QUERY_PREFIX: &str = "u";
 
-/// The query of an unsafe class that an id names: `b0-uQUERY-...`.
+/// The client's query in an id, if its class is unsafe.
 fn unsafe_query_of(id: &str) -> Option<&str> {
     id.split('-').nth(1)?.strip_prefix(UNSAFE_QUERY_PREFIX)
 }
 
 impl Ledger {
-    /// Nothing seen yet, where a key is known for so long.
+    /// An empty ledger for servers that remember idempotency keys for this long.
     pub fn new(idempotency_window: Duration) -> Self {
         Ledger { idempotency_window, ..Ledger::default() }
     }
 
-    /// The counts of a server in the second of `now`.
+    /// The counters of a server in the second of `now`.
     pub fn counts_mut(&mut self, now: Duration, server: usize) -> &mut ServerCounts {
         self.server_counts.entry((now.as_secs(), server)).or_default()
     }
 
-    /// Notes a broken rule.
+    /// Records a violation.
     pub fn record_violation(&mut self, at: Duration, rule: Rule, details: String) {
         self.violations.push(Violation { at, rule, details });
     }
 
-    /// A broker was told that a server drains, or that it serves again.
+    /// Records that a broker learned that a server drains, or that it serves again.
     pub fn set_drain_known(&mut self, now: Duration, broker: usize, server: usize, draining: bool) {
         if draining {
             self.drain_known_since.entry((broker, server)).or_insert(now);
@@ -152,70 +157,81 @@
         }
     }
 
-    /// A broker's process is gone, and what it was told with it.
+    /// Forgets what a broker knew, as its process has ended.
     pub fn forget_broker(&mut self, broker: usize) {
-        self.drain_known_since.retain(|(told, _), _| *told != broker);
+        self.drain_known_since.retain(|(known_by, _), _| *known_by != broker);
     }
 
-    /// The connection on which a part is out.
+    /// The connection on which a part is in flight.
     pub fn connection_of(&self, id: &str) -> Option<usize> {
         self.in_flight.get(id).copied()
     }
 
-    /// A part came whole; `begun` is when its frame's first byte did.
+    /// Records a part; `frame_started` is when the first byte of its frame was received.
     pub fn part_received(
         &mut self,
         now: Duration,
-        begun: Duration,
+        frame_started: Duration,
         server: usize,
         connection: usize,
         part: PartRef<'_>,
     ) {
         if let Some(other) = self.in_flight.insert(part.id.to_owned(), connection) {
-            let details = format!("{} came on connection {connection} while out on {other}", part.id);
+            let details = format!(
+                "{} received on connection {connection} while in flight on connection {other}",
+                part.id
+            );
             self.record_violation(now, Rule::SecondCopy, details);
         }
-        let told = broker_index(part.id).and_then(|broker| self.drain_known_since.get(&(broker, server)));
-        if let Some(told) = told
-            && begun > *told + DRAIN_GRACE + TIME_LIMIT_SLACK
+        let known_since =
+            broker_index(part.id).and_then(|broker| self.drain_known_since.get(&(broker, server)));
+        if let Some(known_since) = known_since
+            && frame_started > *known_since + DRAIN_GRACE + TIME_LIMIT_SLACK
         {
-            let late = (begun - *told).as_millis();
-            let details = format!("{} went to server {server} {late} ms after word of its drain", part.id);
+            let delay = (frame_started - *known_since).as_millis();
+            let details = format!(
+                "{} sent to server {server} {delay} ms after its broker learned of the drain",
+                part.id
+            );
             self.record_violation(now, Rule::Drained, details);
         }
     }
 
-    /// A part is run; if it is keyed, or of an unsafe class, its effect takes hold. An unsafe one may run but once.
+    /// Records the execution of a part. A keyed one may be executed again within its window, one of an unsafe
+    /// class only once.
     pub fn part_executed(&mut self, now: Duration, part: PartRef<'_>) {
-        let (effect, window) = match (part.key, unsafe_query_of(part.id)) {
+        let (identity, window) = match (part.key, unsafe_query_of(part.id)) {
             (Some(key), _) => (key, self.idempotency_window + TIME_LIMIT_SLACK),
             (None, Some(query)) => (query, Duration::ZERO),
             (None, None) => return,
         };
-        let first = match self.first_executed.entry((effect.to_owned(), part.shard)) {
-            Entry::Occupied(ran) => *ran.get(),
-            Entry::Vacant(place) => {
-                place.insert(now);
+        let first = match self.first_executed.entry((identity.to_owned(), part.shard)) {
+            Entry::Occupied(entry) => *entry.get(),
+            Entry::Vacant(entry) => {
+                entry.insert(now);
                 return;
             }
         };
         if now > first + window || part.key.is_none() {
-            let details =
-                format!("{} ran again {} ms after it first did", part.id, (now - first).as_millis());
+            let details = format!(
+                "{} executed again {} ms after its first execution",
+                part.id,
+                (now - first).as_millis()
+            );
             self.record_violation(now, Rule::Doubled, details);
         } else {
             self.reruns_in_window += 1;
         }
     }
 
-    /// A part on a connection is over: answered, or given up by its broker.
+    /// Records that a part on a connection was answered, or cancelled by its broker.
     pub fn part_finished(&mut self, connection: usize, id: &str) {
         if self.in_flight.get(id) == Some(&connection) {
             self.in_flight.remove(id);
         }
     }
 
-    /// A connection has ended, and all that was out on it.
+    /// Records that a connection was closed, which ends all parts in flight on it.
     pub fn connection_closed(&mut self, connection: usize) {
         self.in_flight.retain(|_, on| *on != connection);
     }
@@ -236,7 +252,7 @@
     }
 
     #[test]
-    fn a_part_out_twice_is_a_second_copy_until_it_is_over() {
+    fn a_part_in_flight_twice_is_a_second_copy() {
         let mut ledger = Ledger::default();
         ledger.part_received(MS, MS, 0, 1, part("b0-1.3"));
         ledger.part_finished(1, "b0-1.3");
@@ -250,7 +266,7 @@
     }
 
     #[test]
-    fn a_keyed_part_may_run_again_inside_its_window_alone() {
+    fn a_keyed_part_may_be_executed_again_only_within_its_window() {
         let mut ledger = Ledger { idempotency_window: MS * 100, ..Ledger::default() };
         for at in [0, 10, 150, 151] {
             ledger.part_executed(MS * at, part("b0-1.3"));
@@ -260,21 +276,21 @@
     }
 
     #[test]
-    fn an_unsafe_part_may_run_but_once() {
+    fn an_unsafe_part_may_be_executed_only_once() {
         let mut ledger = Ledger::new(MS * 5000);
-        let named = |id| PartRef { id, shard: 3, key: None };
-        ledger.part_executed(MS * 10, named("b0-1-1-7.3"));
-        ledger.part_executed(MS * 10, named("b0-1-1-7.3"));
-        assert_eq!(rules(&ledger), [], "a safe one may run again");
-        ledger.part_executed(MS * 10, named("b0-u0a-1-7.3"));
-        ledger.part_executed(MS * 10, PartRef { shard: 4, ..named("b0-u0a-1-7.4") });
+        let unkeyed = |id| PartRef { id, shard: 3, key: None };
+        ledger.part_executed(MS * 10, unkeyed("b0-1-1-7.3"));
+        ledger.part_executed(MS * 10, unkeyed("b0-1-1-7.3"));
+        assert_eq!(rules(&ledger), [], "a part of a safe class may be executed again");
+        ledger.part_executed(MS * 10, unkeyed("b0-u0a-1-7.3"));
+        ledger.part_executed(MS * 10, PartRef { shard: 4, ..unkeyed("b0-u0a-1-7.4") });
         assert_eq!(rules(&ledger), []);
-        ledger.part_executed(MS * 10, named("b1-u0a-2-9.3"));
-        assert_eq!(rules(&ledger), [Rule::Doubled], "at another broker, in the same moment");
+        ledger.part_executed(MS * 10, unkeyed("b1-u0a-2-9.3"));
+        assert_eq!(rules(&ledger), [Rule::Doubled], "executed again through another broker at the same time");
     }
 
     #[test]
-    fn a_drain_binds_the_brokers_that_were_told() {
+    fn a_drain_binds_only_brokers_that_know_of_it() {
         let mut ledger = Ledger::default();
         ledger.set_drain_known(MS * 1000, 4, 0, true);
         ledger.set_drain_known(MS * 1200, 4, 0, true);
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -1,5 +1,6 @@
-//! Many stand-in tile servers and a discovery with its list, in one thread on one poller. What servers do with
-//! parts is decided by [`ServerModel`], what of it counts or breaks a rule by [`Ledger`]; here are only the sockets.
+//! Many stand-in tile servers and a discovery service, in one thread on one poller. [`ServerModel`] decides
+//! how servers handle parts, and [`Ledger`] counts them and checks the protocol's rules; this module does the
+//! socket I/O.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -19,105 +20,110 @@
 use crate::model::{Behaviour, PartOutcome, ServerModel, ServerParameters};
 use crate::{MAX_FRAME_BYTES, parse_call, part_value};
 
-/// Discovery writes an empty line so often while nothing changes.
+/// Interval at which discovery writes an empty line to every watch.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// What a silent watch misses counts as told so long after it fell silent, says the standing test's page.
+/// Time after which a list update is deemed delivered to a broker whose watch is stalled, counted from the
+/// stall, as the specification of the fleet test has it.
 const DELIVERY_DEADLINE: Duration = Duration::from_secs(6);
-/// Bytes of a chunk where lists come in small ones.
+/// Size of a chunk when lists are sent in small chunks: [`WorldConfig::indented`].
 const SMALL_CHUNK_BYTES: usize = 61;
 
-/// A tile server of the world.
+/// Configuration of a tile server.
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
     /// Its name.
     pub name: String,
-    /// Its zone's name.
+    /// Name of its zone.
     pub zone: String,
     /// Its cell.
     pub cell: u32,
-    /// Whether it is up from the start; others are kept for later.
+    /// Whether it is up and listed from the start; others wait for [`WorldCommand::StartServer`].
     pub initially_up: bool,
 }
 
-/// What the world is made of.
+/// Configuration of a world.
 #[derive(Clone, Debug)]
 pub struct WorldConfig {
-    /// What each server can do.
+    /// Capacity and timing of each server.
     pub parameters: ServerParameters,
-    /// The servers, those of later included.
+    /// All servers, including those that start later.
     pub servers: Vec<ServerConfig>,
-    /// How many brokers ask discovery.
+    /// Number of brokers; discovery has a listener for each.
     pub brokers: usize,
-    /// Cells, and how many of them hold a shard, as the settings say.
+    /// Number of cells.
     pub cells: u32,
-    /// Holders of each shard.
+    /// Number of consecutive cells that hold each shard.
     pub width: u32,
-    /// How long a key is known after its part first ran.
+    /// How long servers remember an idempotency key after its part was first executed.
     pub idempotency_window: Duration,
-    /// Connections are read up to so late, each drawn anew: servers are busy.
+    /// Largest delay before a server reads from a readable connection, as a busy server would; drawn anew for
+    /// each read.
     pub read_lag: Duration,
-    /// Lists are pushed to an agent beside each broker: what it has counts as told, watch or none.
+    /// Whether lists are pushed to an agent beside each broker. A broker then counts as informed once its
+    /// agent is, even without a watch.
     pub pushed: bool,
-    /// Lists come indented, in small chunks.
+    /// Whether lists are sent as indented JSON in small chunks.
     pub indented: bool,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
 /// A server's state in discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It serves.
+    /// It accepts parts.
     Up,
-    /// It finishes what it has.
+    /// It finishes the parts that it has.
     Draining,
     /// It is not in the list.
     Removed,
 }
 
-/// What the world is told.
+/// A command to the running world. Servers and brokers are given by index, times count from the start of the
+/// run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorldCommand {
-    /// A server does this with parts from now on.
+    /// Sets how a server handles parts.
     SetBehaviour(usize, Behaviour),
-    /// A server's process ends: its connections are reset.
+    /// Stops a server, which resets its connections.
     StopServer(usize),
-    /// A server's process starts, cold.
+    /// Starts a server, cold.
     StartServer(usize),
-    /// The list changes.
+    /// Changes a server's state in the list.
     SetListed(usize, ListedState),
-    /// What discovery has to say comes so late from now on.
+    /// Delays later list updates by this much.
     DelayListUpdates(Duration),
-    /// Discovery turns callers away until then.
+    /// Makes discovery answer calls with status 503 until then.
     RejectCallsUntil(Duration),
-    /// Discovery is silent until then: it takes connections, answers none of them, and the watches that are open
-    /// bring nothing any more, then or later.
+    /// Stalls discovery until then: it accepts connections but does not answer, and the watches that are open
+    /// now receive nothing, even afterwards.
     StallDiscoveryUntil(Duration),
-    /// A broker's process is gone.
+    /// Reports that a broker's process has ended.
     BrokerStopped(usize),
-    /// A broker's process starts.
+    /// Reports that a broker's process starts.
     BrokerStarted(usize),
-    /// The world ends.
+    /// Ends the world's thread.
     Shutdown,
 }
 
-/// The event_loop world.
+/// A running world. Dropping it stops its thread.
 pub struct World {
     sender: Sender<WorldCommand>,
     waker: Waker,
     thread: Option<JoinHandle<()>>,
     ledger: Arc<Mutex<Ledger>>,
-    tiles: Vec<SocketAddr>,
-    discovery: Vec<SocketAddr>,
+    tile_addresses: Vec<SocketAddr>,
+    discovery_addresses: Vec<SocketAddr>,
 }
 
 impl World {
-    /// Binds all sockets and starts. `addresses` tells, for a broker and a server, where that broker finds it,
-    /// once the world's own addresses are known; times count from `start`.
+    /// Binds all sockets and starts the world's thread. `addresses` gets the servers' addresses and returns
+    /// the addresses to list for them, by broker and server; a test puts proxies there. Times count from
+    /// `start`.
     ///
     /// # Errors
     ///
-    /// When loopback has no port left.
+    /// When a port can't be bound, when `addresses` fails, or when the thread can't be started.
     pub fn start(
         config: WorldConfig,
         start: Instant,
@@ -130,43 +136,45 @@
         };
         let tile_listeners: Vec<_> = config.servers.iter().map(|_| bind()).collect::<Result<_, _>>()?;
         let discovery_listeners: Vec<_> = (0..config.brokers).map(|_| bind()).collect::<Result<_, _>>()?;
-        let at = |all: &[TcpListener]| all.iter().map(TcpListener::local_addr).collect::<Result<Vec<_>, _>>();
-        let (tiles, discovery) = (at(&tile_listeners)?, at(&discovery_listeners)?);
-        let addresses = addresses(&tiles)?;
+        let local_addresses =
+            |all: &[TcpListener]| all.iter().map(TcpListener::local_addr).collect::<Result<Vec<_>, _>>();
+        let tile_addresses = local_addresses(&tile_listeners)?;
+        let discovery_addresses = local_addresses(&discovery_listeners)?;
+        let addresses = addresses(&tile_addresses)?;
         let ledger = Arc::new(Mutex::new(Ledger::new(config.idempotency_window)));
         let (sender, commands) = mpsc::channel();
         let mut event_loop = EventLoop::new(config, start, addresses, ledger.clone(), commands)?;
-        let tiles_of = tile_listeners.into_iter().enumerate().map(|(s, l)| (Endpoint::Tile(s), l));
-        let discovery_of =
+        let tile_endpoints = tile_listeners.into_iter().enumerate().map(|(s, l)| (Endpoint::Tile(s), l));
+        let discovery_endpoints =
             discovery_listeners.into_iter().enumerate().map(|(b, l)| (Endpoint::Discovery(b), l));
-        for (endpoint, listener) in tiles_of.chain(discovery_of) {
+        for (endpoint, listener) in tile_endpoints.chain(discovery_endpoints) {
             let key = event_loop.new_key();
             event_loop.poll.add(&listener, key, true, false)?;
             event_loop.listeners.insert(key, (endpoint, listener));
         }
         let waker = event_loop.poll.waker();
         let thread = thread::Builder::new().name("world".into()).spawn(move || event_loop.run())?;
-        Ok(World { sender, waker, thread: Some(thread), ledger, tiles, discovery })
+        Ok(World { sender, waker, thread: Some(thread), ledger, tile_addresses, discovery_addresses })
     }
 
-    /// Where discovery listens for a broker.
+    /// Address on which discovery listens for a broker.
     pub fn discovery_address(&self, broker: usize) -> SocketAddr {
-        self.discovery[broker]
+        self.discovery_addresses[broker]
     }
 
-    /// Where a server listens itself.
+    /// Address on which a server itself listens.
     pub fn tile_address(&self, server: usize) -> SocketAddr {
-        self.tiles[server]
+        self.tile_addresses[server]
     }
 
-    /// Tells it something; it takes hold at once.
+    /// Sends a command. The thread applies it before it handles any socket event that follows.
     pub fn send(&self, command: WorldCommand) {
-        // It ends only with `drop`, after which nobody tells it anything.
+        // The thread ends early only if its poller fails; the command then has no effect.
         let _ = self.sender.send(command);
         self.waker.wake();
     }
 
-    /// What was seen so far.
+    /// The counters and violations so far.
     pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
         lock(&self.ledger)
     }
@@ -181,69 +189,90 @@
     }
 }
 
-/// The state stays usable when a thread has panicked: each change to it is whole.
+/// Locks the ledger. A poisoned lock is usable: no update leaves the ledger inconsistent when a thread
+/// panics.
 fn lock(ledger: &Mutex<Ledger>) -> MutexGuard<'_, Ledger> {
     ledger.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+/// The service at a listener or connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Endpoint {
+    /// A tile server, by index.
     Tile(usize),
+    /// Discovery, as seen by the broker of this index.
     Discovery(usize),
 }
 
 enum TimerEvent {
-    /// A connection is read, late as it may be.
-    Read(usize),
-    /// A part's answer goes out: on a connection, of an id, as these bytes.
-    SendResponse(usize, String, Vec<u8>),
-    /// The list as it is now is told.
-    PublishList(u64),
-    /// An empty line on every watch.
+    /// Reads a connection after its read lag.
+    Read { connection: usize },
+    /// Sends the response to a part.
+    SendResponse { connection: usize, part_id: String, frame: Vec<u8> },
+    /// Publishes a version of the list.
+    PublishList { version: u64 },
+    /// Writes an empty line to every watch.
     Heartbeat,
-    /// Discovery speaks again.
+    /// Ends a stall of discovery.
     DiscoveryResumes,
-    /// What a broker's silent watch has missed counts as told, if that watch is still there.
-    DeemedDelivered(usize),
+    /// Deems the list delivered to a broker whose watch was stalled.
+    DeemedDelivered { broker: usize },
 }
 
+/// An accepted connection.
 struct Connection {
     endpoint: Endpoint,
     stream: TcpStream,
     read_buffer: Vec<u8>,
     write_buffer: Vec<u8>,
-    /// When the first byte of the frame under way came.
+    /// When the first byte of the unfinished frame was received.
     frame_started: Option<Duration>,
-    /// Whether discovery's head was written.
+    /// Whether discovery has written the response head, so that lists follow.
     is_watch: bool,
-    /// Since when it brings nothing any more, though it stays open.
+    /// Since when discovery no longer writes to it, though it stays open.
     stalled_since: Option<Duration>,
 }
 
+/// A server's entry in a version of the list.
+#[derive(Clone, Copy)]
+struct ListEntry {
+    state: ListedState,
+    /// When its process started, in Unix milliseconds; 0 for before the run.
+    since_ms: u64,
+}
+
+/// The state of the world's thread.
 struct EventLoop {
     config: WorldConfig,
     start: Instant,
-    /// Where each broker finds each server.
+    /// Listed address of each server, by broker and server.
     addresses: Vec<Vec<SocketAddr>>,
     ledger: Arc<Mutex<Ledger>>,
     commands: Receiver<WorldCommand>,
     poll: Poll,
+    /// The last poll key that was assigned.
     last_key: usize,
     listeners: HashMap<usize, (Endpoint, TcpListener)>,
     connections: HashMap<usize, Connection>,
+    /// Due time and id of each timer.
     timers: BinaryHeap<Reverse<(Duration, u64)>>,
+    /// The timers' events by id.
     timer_events: HashMap<u64, TimerEvent>,
+    /// Id of the last timer that was set.
     last_timer: u64,
     models: Vec<ServerModel>,
-    /// A server takes no connection before that: it fell over, or its process is not there.
+    /// Until when each server refuses connections: it has crashed, or was stopped (`Duration::MAX`). `None`
+    /// if it is up.
     down_until: Vec<Option<Duration>>,
-    /// When each server's process started, in Unix milliseconds; 0 for long ago.
+    /// When each server's process started, in Unix milliseconds; 0 for before the run.
     since_ms: Vec<u64>,
+    /// Current state of each server in the list.
     list: Vec<ListedState>,
+    /// The newest version of the list.
     version: u64,
-    /// What callers see: each version with what it says.
-    views: BTreeMap<u64, Vec<(ListedState, u64)>>,
-    /// The newest version that has been told.
+    /// The published version and those that are yet to be published.
+    list_versions: BTreeMap<u64, Vec<ListEntry>>,
+    /// The published version.
     published: u64,
     publish_delay: Duration,
     reject_calls_until: Duration,
@@ -252,7 +281,7 @@
 }
 
 impl Connection {
-    /// Whether it is a watch on which something may still come.
+    /// Whether it is a watch that still receives updates.
     fn is_live_watch(&self) -> bool {
         self.is_watch && self.stalled_since.is_none()
     }
@@ -274,7 +303,7 @@
         let models = config.servers.iter().map(|_| ServerModel::new(config.parameters, None)).collect();
         let down_until = config.servers.iter().map(|s| (!s.initially_up).then_some(Duration::MAX)).collect();
         let since_ms = vec![0; config.servers.len()];
-        let view = list.iter().map(|state| (*state, 0)).collect();
+        let entries = list.iter().map(|state| ListEntry { state: *state, since_ms: 0 }).collect();
         let mut event_loop = EventLoop {
             rng: ChaCha8Rng::seed_from_u64(config.seed),
             config,
@@ -294,7 +323,7 @@
             since_ms,
             list,
             version: 1,
-            views: BTreeMap::from([(1, view)]),
+            list_versions: BTreeMap::from([(1, entries)]),
             published: 1,
             publish_delay: Duration::ZERO,
             reject_calls_until: Duration::ZERO,
@@ -318,8 +347,8 @@
     fn run(mut self) {
         let mut ready: Vec<Ready> = Vec::new();
         loop {
-            let pause = self.timers.peek().map(|Reverse((at, _))| at.saturating_sub(self.start.elapsed()));
-            if self.poll.wait(pause, &mut ready).is_err() {
+            let timeout = self.timers.peek().map(|Reverse((at, _))| at.saturating_sub(self.start.elapsed()));
+            if self.poll.wait(timeout, &mut ready).is_err() {
                 return;
             }
             let now = self.start.elapsed();
@@ -330,7 +359,7 @@
                 self.apply_command(now, command);
             }
             for report in std::mem::take(&mut ready) {
-                self.ready(now, report);
+                self.on_ready(now, report);
             }
             while let Some(Reverse((_, id))) = self.timers.peek().copied().filter(|due| due.0.0 <= now) {
                 self.timers.pop();
@@ -341,7 +370,7 @@
         }
     }
 
-    fn ready(&mut self, now: Duration, report: Ready) {
+    fn on_ready(&mut self, now: Duration, report: Ready) {
         let key = report.key;
         if self.listeners.contains_key(&key) {
             self.accept(now, key);
@@ -353,18 +382,22 @@
         if report.readable && self.connections.contains_key(&key) {
             let tile = matches!(self.connections[&key].endpoint, Endpoint::Tile(_));
             let lag = if tile { self.config.read_lag.mul_f64(self.rng.random()) } else { Duration::ZERO };
-            if lag.is_zero() { self.read(now, key) } else { self.set_timer(now + lag, TimerEvent::Read(key)) }
+            if lag.is_zero() {
+                self.read(now, key)
+            } else {
+                self.set_timer(now + lag, TimerEvent::Read { connection: key })
+            }
         }
     }
 
     fn on_timer(&mut self, now: Duration, event: TimerEvent) {
         match event {
-            TimerEvent::Read(key) => self.read(now, key),
-            TimerEvent::SendResponse(key, id, bytes) => {
-                lock(&self.ledger).part_finished(key, &id);
-                self.queue_bytes(key, &bytes);
+            TimerEvent::Read { connection } => self.read(now, connection),
+            TimerEvent::SendResponse { connection, part_id, frame } => {
+                lock(&self.ledger).part_finished(connection, &part_id);
+                self.queue_bytes(connection, &frame);
             }
-            TimerEvent::PublishList(version) => self.publish_list(now, version),
+            TimerEvent::PublishList { version } => self.publish_list(now, version),
             TimerEvent::Heartbeat => {
                 self.set_timer(now + HEARTBEAT_INTERVAL, TimerEvent::Heartbeat);
                 let watching: Vec<usize> =
@@ -372,27 +405,27 @@
                 watching.into_iter().for_each(|key| self.queue_bytes(key, b"1\r\n\n\r\n"));
             }
             TimerEvent::DiscoveryResumes => {
-                let silent = |broker: usize| {
-                    let of = |connection: &&Connection| {
+                let stalled_since = |broker: usize| {
+                    let is_watch_of_broker = |connection: &&Connection| {
                         connection.endpoint == Endpoint::Discovery(broker) && connection.is_watch
                     };
                     self.connections
                         .values()
-                        .filter(of)
+                        .filter(is_watch_of_broker)
                         .filter_map(|connection| connection.stalled_since)
                         .min()
                 };
-                let since: Vec<_> = (0..self.config.brokers).map(silent).collect();
+                let since: Vec<_> = (0..self.config.brokers).map(stalled_since).collect();
                 for (broker, since) in since.into_iter().enumerate() {
                     match since {
                         Some(since) => {
-                            self.set_timer(since + DELIVERY_DEADLINE, TimerEvent::DeemedDelivered(broker))
+                            self.set_timer(since + DELIVERY_DEADLINE, TimerEvent::DeemedDelivered { broker })
                         }
-                        None => self.on_agent_updated(now, broker),
+                        None => self.deliver_to_agent(now, broker),
                     }
                 }
             }
-            TimerEvent::DeemedDelivered(broker) => self.on_agent_updated(now, broker),
+            TimerEvent::DeemedDelivered { broker } => self.deliver_to_agent(now, broker),
         }
     }
 
@@ -408,7 +441,7 @@
                 self.list[server] = state;
                 self.schedule_publish(now);
             }
-            WorldCommand::DelayListUpdates(late) => self.publish_delay = late,
+            WorldCommand::DelayListUpdates(delay) => self.publish_delay = delay,
             WorldCommand::RejectCallsUntil(until) => self.reject_calls_until = until,
             WorldCommand::StallDiscoveryUntil(until) => {
                 self.stalled_until = until;
@@ -421,12 +454,12 @@
                 self.set_timer(until, TimerEvent::DiscoveryResumes);
             }
             WorldCommand::BrokerStopped(broker) => lock(&self.ledger).forget_broker(broker),
-            WorldCommand::BrokerStarted(broker) => self.on_agent_updated(now, broker),
+            WorldCommand::BrokerStarted(broker) => self.deliver_to_agent(now, broker),
             WorldCommand::Shutdown => {}
         }
     }
 
-    /// A server's process starts, or comes back after it fell over.
+    /// Starts a server's process, also after a crash.
     fn start_server(&mut self, now: Duration, server: usize) {
         self.down_until[server] = None;
         self.models[server] = ServerModel::new(self.config.parameters, Some(now));
@@ -435,22 +468,25 @@
         self.schedule_publish(now);
     }
 
+    /// Creates a new version of the list, to be published after the delay.
     fn schedule_publish(&mut self, now: Duration) {
         self.version += 1;
-        let view = self.list.iter().copied().zip(self.since_ms.iter().copied()).collect();
-        self.views.insert(self.version, view);
-        self.set_timer(now + self.publish_delay, TimerEvent::PublishList(self.version));
+        let servers = self.list.iter().zip(&self.since_ms);
+        let entries =
+            servers.map(|(state, since_ms)| ListEntry { state: *state, since_ms: *since_ms }).collect();
+        self.list_versions.insert(self.version, entries);
+        self.set_timer(now + self.publish_delay, TimerEvent::PublishList { version: self.version });
     }
 
-    /// Resets all connections of a server, as its process's end would.
+    /// Resets all connections of a server, as the end of its process does.
     fn reset_server_connections(&mut self, server: usize) {
-        let of: Vec<usize> = self
+        let keys: Vec<usize> = self
             .connections
             .iter()
             .filter(|(_, l)| l.endpoint == Endpoint::Tile(server))
             .map(|(key, _)| *key)
             .collect();
-        for key in of {
+        for key in keys {
             self.close_connection(key, true);
         }
     }
@@ -459,8 +495,8 @@
         let Some(connection) = self.connections.remove(&key) else { return };
         self.poll.remove(&connection.stream);
         if let (Endpoint::Discovery(broker), Some(_)) = (connection.endpoint, connection.stalled_since) {
-            // What that watch missed is no longer missed: the agent has it.
-            self.on_agent_updated(self.start.elapsed(), broker);
+            // Without the stalled watch, the broker gets the list through its agent.
+            self.deliver_to_agent(self.start.elapsed(), broker);
         }
         if reset {
             let _ = socket2::SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
@@ -473,8 +509,8 @@
             let Some((endpoint, listener)) = self.listeners.get(&key) else { return };
             let (endpoint, accepted) = (*endpoint, listener.accept());
             let Ok((stream, _)) = accepted else { break };
-            let fit = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
-            if fit.is_err() {
+            let configured = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
+            if configured.is_err() {
                 continue;
             }
             if let Endpoint::Tile(server) = endpoint {
@@ -518,7 +554,7 @@
         }
     }
 
-    /// Queues bytes on a connection and writes what it takes.
+    /// Queues bytes on a connection and writes as many as its socket accepts.
     fn queue_bytes(&mut self, key: usize, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(&key) {
             connection.write_buffer.extend_from_slice(bytes);
@@ -546,12 +582,13 @@
     fn read(&mut self, now: Duration, key: usize) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         let mut buffer = [0; 16 * 1024];
-        let over = loop {
+        let is_closed = loop {
             match connection.stream.read(&mut buffer) {
                 Ok(0) => break true,
                 Ok(read) => connection.read_buffer.extend_from_slice(&buffer[..read]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break false,
-                // The network has ended it, or its broker's process has: nobody waits for what came before.
+                // The network or the end of the broker's process reset it: nobody waits for answers to its
+                // parts.
                 Err(_) => return self.close_connection(key, false),
             }
         };
@@ -560,11 +597,11 @@
             Endpoint::Discovery(broker) => self.on_discovery_call(now, key, broker),
         }
         let Some(connection) = self.connections.get(&key) else { return };
-        if over {
+        if is_closed {
             if matches!(connection.endpoint, Endpoint::Tile(_)) && !connection.read_buffer.is_empty() {
-                let what =
-                    format!("a frame of {} bytes so far was never ended", connection.read_buffer.len());
-                lock(&self.ledger).record_violation(now, Rule::CutFrame, what);
+                let details =
+                    format!("connection closed after {} bytes of a frame", connection.read_buffer.len());
+                lock(&self.ledger).record_violation(now, Rule::CutFrame, details);
             }
             self.close_connection(key, false);
         } else {
@@ -572,7 +609,7 @@
         }
     }
 
-    /// Takes the whole frames that have come on a connection.
+    /// Processes the complete frames in a connection's read buffer.
     fn process_frames(&mut self, now: Duration, key: usize, server: usize) {
         loop {
             let Some(connection) = self.connections.get_mut(&key) else { return };
@@ -582,18 +619,22 @@
                 return;
             };
             let length = u32::from_be_bytes(*length) as usize;
-            let begun = connection.frame_started.unwrap_or(now);
+            let frame_started = connection.frame_started.unwrap_or(now);
             if length == 0 || length > MAX_FRAME_BYTES {
-                return self.reject_frame(now, key, "a frame of no use".to_owned());
+                return self.reject_frame(
+                    now,
+                    key,
+                    format!("a frame of {length} bytes, which is not from 1 to {MAX_FRAME_BYTES}"),
+                );
             }
             let Some(frame) = rest.get(..length).map(<[u8]>::to_vec) else {
-                connection.frame_started = Some(begun);
+                connection.frame_started = Some(frame_started);
                 return;
             };
             connection.read_buffer.drain(..4 + length);
             connection.frame_started = None;
             match frame[0] {
-                b'q' => self.on_call(now, begun, key, server, &frame[1..]),
+                b'q' => self.on_call(now, frame_started, key, server, &frame[1..]),
                 b'c' => {
                     let id = String::from_utf8_lossy(&frame[1..]).into_owned();
                     lock(&self.ledger).part_finished(key, &id);
@@ -603,46 +644,52 @@
                     let answer: &[u8] = if frame[0] == b'p' { b"pserved" } else { b"l-" };
                     self.queue_bytes(key, &encode_frame(answer));
                 }
-                _ => return self.reject_frame(now, key, "no such frame".to_owned()),
+                kind => return self.reject_frame(now, key, format!("a frame of unknown kind {kind:#04x}")),
             }
         }
     }
 
+    /// Records an invalid frame and closes its connection.
     fn reject_frame(&mut self, now: Duration, key: usize, details: String) {
         lock(&self.ledger).record_violation(now, Rule::Misplaced, details);
         self.close_connection(key, false);
     }
 
-    fn on_call(&mut self, now: Duration, begun: Duration, key: usize, server: usize, rest: &[u8]) {
+    /// Handles the parts of a call frame, whose first byte was received at `frame_started`.
+    fn on_call(&mut self, now: Duration, frame_started: Duration, key: usize, server: usize, rest: &[u8]) {
         let parts = match parse_call(rest) {
             Ok(parts) => parts,
-            Err(fault) => return self.reject_frame(now, key, fault.to_string()),
+            Err(error) => return self.reject_frame(now, key, error.to_string()),
         };
         for part in parts {
             let part_ref = PartRef { id: &part.id, shard: part.shard, key: part.key.as_deref() };
             self.detect_reset(&part.id);
-            lock(&self.ledger).part_received(now, begun, server, key, part_ref);
+            lock(&self.ledger).part_received(now, frame_started, server, key, part_ref);
             let (cell, cells) = (self.config.servers[server].cell, self.config.cells.max(1));
-            let holds = (0..self.config.width).any(|n| (part.shard + n) % cells == cell % cells);
-            if !holds {
-                let what = format!("{} of shard {} went to cell {cell}", part.id, part.shard);
-                lock(&self.ledger).record_violation(now, Rule::Misplaced, what);
+            let holds_shard = (0..self.config.width).any(|n| (part.shard + n) % cells == cell % cells);
+            if !holds_shard {
+                let details = format!(
+                    "{} of shard {} sent to cell {cell}, which does not hold the shard",
+                    part.id, part.shard
+                );
+                lock(&self.ledger).record_violation(now, Rule::Misplaced, details);
             }
-            let cold = self.models[server].relative_speed(now) < 1.0;
+            let is_cold = self.models[server].relative_speed(now) < 1.0;
             let (work, outcome) = self.models[server].accept_part(now, self.rng.random());
             let cold_load = self.models[server].cold_load(now);
             let mut ledger = lock(&self.ledger);
             let counts = ledger.counts_mut(now, server);
             counts.parts += 1;
-            counts.cold_work += if cold { work } else { 0.0 };
+            counts.cold_work += if is_cold { work } else { 0.0 };
             counts.cold_load = counts.cold_load.max(cold_load);
             let id = &part.id;
-            let (at, answer) = match outcome {
+            let (at, response) = match outcome {
                 PartOutcome::Served(at) => {
                     let value = part_value(part.shard, part.text);
                     (at, format!("a{id} served {} -\n{value}", part.shard + 1))
                 }
-                // Its length does not fit: what follows can't be told apart.
+                // An unknown frame kind with a truncated body, so the broker can't parse the connection any
+                // further.
                 PartOutcome::Corrupted(at) => (at, format!("z{id} served")),
                 PartOutcome::Failed(at) => {
                     counts.lost += 1;
@@ -667,7 +714,7 @@
                     ledger.record_violation(
                         now,
                         Rule::ColdFell,
-                        format!("{name} fell over while it was cold"),
+                        format!("{name} crashed under its load while cold"),
                     );
                     drop(ledger);
                     self.down_until[server] = Some(now + self.config.parameters.restart_delay);
@@ -678,29 +725,31 @@
                 ledger.part_executed(now, part_ref);
             }
             drop(ledger);
-            let bytes = encode_frame(answer.as_bytes());
-            self.set_timer(at, TimerEvent::SendResponse(key, part.id, bytes));
+            let frame = encode_frame(response.as_bytes());
+            let event = TimerEvent::SendResponse { connection: key, part_id: part.id, frame };
+            self.set_timer(at, event);
         }
     }
 
-    /// A part whose connection the network has reset is over, also where this server has yet to look. What its
-    /// broker ended by a close or said in a frame is over once it is read.
+    /// Closes the connection on which a part is in flight if the network has reset it, so that the part is
+    /// not counted as a second copy. An orderly close or a cancel frame ends a part only when it is read.
     fn detect_reset(&mut self, id: &str) {
-        let Some(on) = lock(&self.ledger).connection_of(id) else { return };
-        let Some(connection) = self.connections.get(&on) else { return };
-        // What came before a reset may stand unread before it, so reading would not show it.
+        let Some(previous) = lock(&self.ledger).connection_of(id) else { return };
+        let Some(connection) = self.connections.get(&previous) else { return };
+        // Reading would not show the reset while earlier bytes are unread.
         if matches!(connection.stream.take_error(), Ok(Some(error)) if error.kind() == io::ErrorKind::ConnectionReset)
         {
-            self.close_connection(on, false);
+            self.close_connection(previous, false);
         }
     }
 
+    /// Answers a broker's call for the list once its request head is complete.
     fn on_discovery_call(&mut self, now: Duration, key: usize, broker: usize) {
         let Some(connection) = self.connections.get_mut(&key).filter(|connection| !connection.is_watch)
         else {
             return;
         };
-        if !connection.read_buffer.windows(4).any(|four| four == b"\r\n\r\n") {
+        if !connection.read_buffer.windows(4).any(|bytes| bytes == b"\r\n\r\n") {
             return;
         }
         connection.read_buffer.clear();
@@ -724,65 +773,67 @@
         self.write_list(now, key, broker);
     }
 
+    /// Publishes a version of the list to agents and live watches, unless a newer one has been published.
     fn publish_list(&mut self, now: Duration, version: u64) {
         if version <= self.published {
             return;
         }
         self.published = version;
-        self.views = self.views.split_off(&version);
-        (0..self.config.brokers).for_each(|broker| self.on_agent_updated(now, broker));
+        self.list_versions = self.list_versions.split_off(&version);
+        (0..self.config.brokers).for_each(|broker| self.deliver_to_agent(now, broker));
         let watching = self.connections.iter().filter(|(_, connection)| connection.is_live_watch());
         let watching: Vec<(usize, Endpoint)> =
             watching.map(|(key, connection)| (*key, connection.endpoint)).collect();
-        for (key, which) in watching {
-            if let Endpoint::Discovery(broker) = which {
+        for (key, endpoint) in watching {
+            if let Endpoint::Discovery(broker) = endpoint {
                 self.write_list(now, key, broker);
             }
         }
     }
 
-    /// What a broker's agent has counts as told, unless it is silent, or a watch of that broker is.
-    fn on_agent_updated(&mut self, now: Duration, broker: usize) {
-        let missed = |connection: &Connection| {
-            let silent = connection.stalled_since.is_some_and(|since| now < since + DELIVERY_DEADLINE);
-            connection.endpoint == Endpoint::Discovery(broker) && connection.is_watch && silent
+    /// Marks the published list as delivered to a broker's agent where lists are pushed, unless discovery is
+    /// stalled or a watch of that broker has been stalled for less than the delivery deadline.
+    fn deliver_to_agent(&mut self, now: Duration, broker: usize) {
+        let is_undelivered = |connection: &Connection| {
+            let is_stalled = connection.stalled_since.is_some_and(|since| now < since + DELIVERY_DEADLINE);
+            connection.endpoint == Endpoint::Discovery(broker) && connection.is_watch && is_stalled
         };
-        if self.config.pushed && now >= self.stalled_until && !self.connections.values().any(missed) {
+        if self.config.pushed && now >= self.stalled_until && !self.connections.values().any(is_undelivered) {
             self.mark_delivered(now, broker);
         }
     }
 
-    /// A broker counts as told what the list shows now.
+    /// Records that a broker knows the published list.
     fn mark_delivered(&mut self, now: Duration, broker: usize) {
-        let Some(view) = self.views.get(&self.published) else { return };
+        let Some(entries) = self.list_versions.get(&self.published) else { return };
         let mut ledger = lock(&self.ledger);
-        for (server, (state, _)) in view.iter().enumerate() {
-            ledger.set_drain_known(now, broker, server, *state != ListedState::Up);
+        for (server, entry) in entries.iter().enumerate() {
+            ledger.set_drain_known(now, broker, server, entry.state != ListedState::Up);
         }
     }
 
-    /// Writes the list as it is shown now to a watch: what is written counts as told.
+    /// Writes the published list to a watch, and marks it as delivered.
     fn write_list(&mut self, now: Duration, key: usize, broker: usize) {
-        let Some(view) = self.views.get(&self.published).cloned() else { return };
+        let Some(entries) = self.list_versions.get(&self.published).cloned() else { return };
         let mut endpoints = Vec::new();
         self.mark_delivered(now, broker);
-        for (server, (state, since)) in view.into_iter().enumerate() {
-            let placed = &self.config.servers[server];
-            let status = match state {
+        for (server, entry) in entries.into_iter().enumerate() {
+            let config = &self.config.servers[server];
+            let status = match entry.state {
                 ListedState::Up => "up",
                 ListedState::Draining => "draining",
                 ListedState::Removed => continue,
             };
             let address = self.addresses[broker][server].to_string();
-            endpoints.push(json!({"name": placed.name, "address": address, "zone": placed.zone,
-                "group": placed.cell, "status": status, "weight": 1.0, "since_ms": since}));
+            endpoints.push(json!({"name": config.name, "address": address, "zone": config.zone,
+                "group": config.cell, "status": status, "weight": 1.0, "since_ms": entry.since_ms}));
         }
         let list = json!({"index": self.published, "snapshot": true, "endpoints": endpoints});
-        let (text, most) = match self.config.indented {
+        let (text, max_chunk) = match self.config.indented {
             true => (format!("\n{list:#}\n"), SMALL_CHUNK_BYTES),
             false => (format!("{list}\n"), usize::MAX),
         };
-        for piece in text.as_bytes().chunks(most) {
+        for piece in text.as_bytes().chunks(max_chunk) {
             let mut chunk = format!("{:x}\r\n", piece.len()).into_bytes();
             chunk.extend_from_slice(piece);
             chunk.extend_from_slice(b"\r\n");
@@ -791,7 +842,7 @@
     }
 }
 
-/// A frame with its length before it.
+/// Prefixes a frame with its length.
 fn encode_frame(frame: &[u8]) -> Vec<u8> {
     let mut bytes = u32::try_from(frame.len()).unwrap_or(u32::MAX).to_be_bytes().to_vec();
     bytes.extend_from_slice(frame);
--- a/crates/synth/src/world.rs
+++ b/crates/synth/src/world.rs
@@ -618,7 +618,8 @@
         }
     }
 
-    /// Sends the state of changed servers to all brokers. It arrives after 2 s, up to 3 ms apart between brokers.
+    /// Sends the state of changed servers to all brokers. It arrives after 2 s, up to 3 ms apart between
+    /// brokers.
     fn publish(&mut self, servers: &[usize]) {
         self.list_version += 1;
         let entries = self.list_entries(servers.iter().copied());
@@ -707,7 +708,8 @@
     }
 }
 
-/// Mixes the bits of a number, so that consecutive numbers give unrelated ones (based on splitmix64's finalizer).
+/// Mixes the bits of a number, so that consecutive numbers give unrelated ones (based on splitmix64's
+/// finalizer).
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9).wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
