--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -688,8 +688,7 @@
                     let value = part_value(part.shard, part.text);
                     (at, format!("a{id} served {} -\n{value}", part.shard + 1))
                 }
-                // An unknown frame kind with a truncated body, so the broker can't parse the connection any
-                // further.
+                // A frame of an unknown kind, which a broker can't parse.
                 PartOutcome::Corrupted(at) => (at, format!("z{id} served")),
                 PartOutcome::Failed(at) => {
                     counts.lost += 1;
--- a/crates/synth/tests/tools.rs
+++ b/crates/synth/tests/tools.rs
@@ -1,5 +1,5 @@
-//! The tools over traces of stand-in traffic: nothing is lost, nothing comes twice, clocks are put right, keys
-//! are gone, and this build decides as it did.
+//! The trace tools on synthetic traces: merging loses and duplicates no record, clock offsets are corrected,
+//! masking removes the original keys, and replaying a trace with this build gives the recorded decisions.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -14,59 +14,62 @@
 use badgergauge_trace::tools::{self, ToolError};
 use badgergauge_trace::{FileEnd, Header, Record, Writer};
 
-struct Folder(PathBuf);
+/// A directory that is removed on drop.
+struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("badgergauge-synth-{}-{name}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        fs::create_dir_all(&path).expect("create directory");
+        TempDir(path)
     }
 
-    fn at(&self, name: &str) -> PathBuf {
+    fn path(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn make(folder: &Path, plan: &SynthOptions) -> SynthOutput {
-    fs::create_dir_all(folder).expect("a folder");
-    run(plan, |name| File::create_new(folder.join(name))).expect("made")
+fn generate(dir: &Path, options: &SynthOptions) -> SynthOutput {
+    fs::create_dir_all(dir).expect("create directory");
+    run(options, |name| File::create_new(dir.join(name))).expect("generate traces")
 }
 
-fn plan(seconds: u64) -> SynthOptions {
+fn options(seconds: u64) -> SynthOptions {
     SynthOptions {
         duration: Duration::from_secs(seconds),
         rate: 60.0,
         fault_interval: Duration::from_secs(2),
-        // Lists change most, as clocks are compared by them; a broker is killed, and its clients come back.
+        // Drains and crashes change the server list, by which clocks are compared. Killing a broker makes
+        // clients retry.
         faults: vec![Fault::Drain, Fault::Crash, Fault::BrokerKill, Fault::Drain, Fault::Fail, Fault::Slow],
         ..SynthOptions::default()
     }
 }
 
 fn open(paths: &[PathBuf]) -> MergedStream {
-    MergedStream::open(&trace_files(paths).expect("there"), i64::MIN..i64::MAX).expect("sound")
+    MergedStream::open(&trace_files(paths).expect("file exists"), i64::MIN..i64::MAX).expect("valid trace")
 }
 
-type Key = (String, u64, u64);
+/// Broker, run and sequence number of a record.
+type RecordKey = (String, u64, u64);
 
-/// All records of a stream by run and number, and the order they came in.
-fn all(mut merged: MergedStream) -> (BTreeMap<Key, Record>, Vec<Key>) {
+/// All records of a stream by broker, run and sequence number, and their order in the stream.
+fn read_all(mut merged: MergedStream) -> (BTreeMap<RecordKey, Record>, Vec<RecordKey>) {
     let (mut records, mut order) = (BTreeMap::new(), Vec::new());
     let sources = merged.header().sources.clone();
-    while let Some(mut record) = merged.next_record().expect("read") {
+    while let Some(mut record) = merged.next_record().expect("read trace") {
         let source = &sources[record.source as usize];
         let key = (source.broker.clone(), source.run, record.sequence);
         record.source = 0;
         order.push(key.clone());
-        assert!(records.insert(key.clone(), record).is_none(), "{key:?} came twice");
+        assert!(records.insert(key.clone(), record).is_none(), "{key:?} is in the stream twice");
     }
     (records, order)
 }
@@ -77,47 +80,49 @@
 
 #[test]
 fn the_same_seed_gives_the_same_bytes() {
-    let folder = Folder::new("seed");
-    let (a, b) = (make(&folder.at("a"), &plan(6)), make(&folder.at("b"), &plan(6)));
+    let dir = TempDir::new("seed");
+    let (a, b) = (generate(&dir.path("a"), &options(6)), generate(&dir.path("b"), &options(6)));
     assert_eq!(a, b);
     for name in &a.files {
         assert!(
-            fs::read(folder.at("a").join(name)).expect("a")
-                == fs::read(folder.at("b").join(name)).expect("b")
+            fs::read(dir.path("a").join(name)).expect("read file")
+                == fs::read(dir.path("b").join(name)).expect("read file")
         );
     }
-    let other = make(&folder.at("c"), &SynthOptions { seed: 8, ..plan(6) });
+    let other = generate(&dir.path("c"), &SynthOptions { seed: 8, ..options(6) });
     assert_ne!(a.decisions, other.decisions);
 }
 
-// An hour in little: cut into windows, shuffled, some given twice, and merged: every step once, as it was.
+// Cuts a trace into time windows and merges them out of order, with one window and one original file given
+// twice. The merged file must hold every step exactly once, unchanged.
 #[test]
-fn windows_merged_again_give_every_decision_once() {
-    let folder = Folder::new("windows");
-    let made = make(&folder.at("t"), &plan(20));
-    let (whole, _) = all(open(&[folder.at("t")]));
-    assert_eq!(whole.len() as u64, made.steps);
-    let start = whole.values().map(|r| r.time).min().expect("some");
+fn merged_windows_hold_every_decision_once() {
+    let dir = TempDir::new("windows");
+    let output = generate(&dir.path("t"), &options(20));
+    let (whole, _) = read_all(open(&[dir.path("t")]));
+    assert_eq!(whole.len() as u64, output.steps);
+    let start = whole.values().map(|r| r.time).min().expect("at least one record");
     let start = start.0 as i64 + 1_795_766_400_000_000_000 - 1000 * 1_000_000_000;
     let second = 1_000_000_000_i64;
     let mut cuts = Vec::new();
     for window in 0..12 {
         let from = if window == 0 { i64::MIN } else { start + window * 3 * second };
         let to = if window == 11 { i64::MAX } else { start + (window + 1) * 3 * second };
-        let path = folder.at(&format!("w{window}.bgt"));
-        let merged =
-            MergedStream::open(&trace_files(&[folder.at("t")]).expect("there"), from..to).expect("sound");
-        tools::write_all(merged, &path, &mut no_progress()).expect("written");
+        let path = dir.path(&format!("w{window}.bgt"));
+        let merged = MergedStream::open(&trace_files(&[dir.path("t")]).expect("file exists"), from..to)
+            .expect("valid trace");
+        tools::write_all(merged, &path, &mut no_progress()).expect("write trace");
         cuts.push(path);
     }
     cuts.reverse();
     cuts.push(cuts[3].clone());
-    // The originals of one broker overlap all its windows.
-    cuts.push(folder.at("t").join(&made.files[0]));
-    let written = tools::write_all(open(&cuts), &folder.at("all.bgt"), &mut no_progress()).expect("written");
-    assert_eq!((written.steps, written.decisions), (made.steps, made.decisions));
+    // This original file overlaps all windows of its broker.
+    cuts.push(dir.path("t").join(&output.files[0]));
+    let written =
+        tools::write_all(open(&cuts), &dir.path("all.bgt"), &mut no_progress()).expect("write trace");
+    assert_eq!((written.steps, written.decisions), (output.steps, output.decisions));
     assert!(written.duplicates > 0);
-    let (merged, order) = all(open(&[folder.at("all.bgt")]));
+    let (merged, order) = read_all(open(&[dir.path("all.bgt")]));
     assert!(merged == whole);
     let mut last: BTreeMap<(String, u64), u64> = BTreeMap::new();
     for (broker, run, sequence) in order {
@@ -126,39 +131,39 @@
     }
 }
 
-// Clocks that disagree by some milliseconds: the estimate is within what it says, and every repeat comes after
-// what it repeats.
+// Brokers' clocks are off by up to 40 ms. The estimated offsets must be within their stated error, and after
+// their correction every retry must come after the request that it retries.
 #[test]
 fn clocks_are_put_right_and_causes_come_first() {
-    let folder = Folder::new("clocks");
+    let dir = TempDir::new("clocks");
     let skew = Duration::from_millis(40);
-    let made = make(
-        &folder.at("t"),
+    let output = generate(
+        &dir.path("t"),
         &SynthOptions {
             max_clock_skew: skew,
             rate: 150.0,
             servers: 8,
             faults: vec![Fault::Drain, Fault::Fail],
-            ..plan(24)
+            ..options(24)
         },
     );
-    let mut merged = open(&[folder.at("t")]);
-    let alignment = tools::align(open(&[folder.at("t")]), &mut no_progress()).expect("read");
+    let mut merged = open(&[dir.path("t")]);
+    let alignment = tools::align(open(&[dir.path("t")]), &mut no_progress()).expect("read trace");
     assert_eq!(alignment.causality_violations, 0);
     assert!(alignment.retries > 0);
-    for (offset, skew) in alignment.offsets.iter().zip(&made.clock_skews) {
+    for (offset, skew) in alignment.offsets.iter().zip(&output.clock_skews) {
         let wrong = (offset.nanos + skew).abs();
         assert!(wrong <= offset.error.unwrap_or(0).max(2_000_000), "{offset:?} for {skew}");
     }
-    assert!(made.clock_skews.iter().any(|skew| skew.abs() > 5_000_000), "{:?}", made.clock_skews);
+    assert!(output.clock_skews.iter().any(|skew| skew.abs() > 5_000_000), "{:?}", output.clock_skews);
     merged.apply_offsets(&alignment.offsets.iter().map(|offset| offset.nanos).collect::<Vec<_>>());
-    tools::write_all(merged, &folder.at("all.bgt"), &mut no_progress()).expect("written");
-    // First tries that were refused, and their repeats, in the order of the merged file.
-    let mut merged = open(&[folder.at("all.bgt")]);
-    let (mut open_tries, mut refused, mut repeats) = (BTreeMap::new(), BTreeMap::new(), 0);
-    let mut place = 0_u64;
-    while let Some(record) = merged.next_record().expect("read") {
-        place += 1;
+    tools::write_all(merged, &dir.path("all.bgt"), &mut no_progress()).expect("write trace");
+    // In the order of the merged file, each retry must follow the refusal of its first request.
+    let mut merged = open(&[dir.path("all.bgt")]);
+    let (mut open_requests, mut refused, mut retries) = (BTreeMap::new(), BTreeMap::new(), 0);
+    let mut position = 0_u64;
+    while let Some(record) = merged.next_record().expect("read trace") {
+        position += 1;
         let queries = record.events.iter().filter_map(|event| match event {
             Event::Query(query) => Some(query),
             _ => None,
@@ -166,139 +171,139 @@
         for (query, named) in queries.zip(&record.query_names) {
             let Some(key) = &named.idempotency_key else { continue };
             if query.is_retry {
-                repeats += 1;
+                retries += 1;
                 assert!(
-                    refused.get(key).is_some_and(|at| *at < place),
-                    "{key} is repeated before it is refused"
+                    refused.get(key).is_some_and(|at| *at < position),
+                    "{key} is retried before it is refused"
                 );
             } else {
-                open_tries.insert((record.source, query.id), key.clone());
+                open_requests.insert((record.source, query.id), key.clone());
             }
         }
         for action in &record.actions {
             if let Action::Refuse { query, .. } | Action::Fail { query, .. } = action
-                && let Some(key) = open_tries.remove(&(record.source, *query))
+                && let Some(key) = open_requests.remove(&(record.source, *query))
             {
-                refused.insert(key, place);
+                refused.insert(key, position);
             }
         }
     }
-    assert!(repeats > 0);
+    assert!(retries > 0);
 }
 
 #[test]
-fn this_build_decides_as_it_did_and_a_difference_is_named() {
-    let folder = Folder::new("verify");
-    let made = make(&folder.at("t"), &plan(12));
-    let (runs, _, _) = tools::verify(open(&[folder.at("t")]), true, &mut no_progress()).expect("read");
-    assert_eq!(runs.iter().map(|run| run.decisions).sum::<u64>(), made.decisions);
+fn verify_reproduces_decisions_and_reports_the_first_difference() {
+    let dir = TempDir::new("verify");
+    let output = generate(&dir.path("t"), &options(12));
+    let (runs, _, _) = tools::verify(open(&[dir.path("t")]), true, &mut no_progress()).expect("read trace");
+    assert_eq!(runs.iter().map(|run| run.decisions).sum::<u64>(), output.decisions);
     assert!(runs.iter().all(|run| run.difference.is_none() && run.stopped.is_none()));
-    // One send of one broker goes elsewhere on record.
-    let path = folder.at("t").join(&made.files[1]);
-    let mut reader = badgergauge_trace::merge::open(&path).expect("sound");
+    // Change the server of one recorded send.
+    let path = dir.path("t").join(&output.files[1]);
+    let mut reader = badgergauge_trace::merge::open(&path).expect("valid trace");
     let mut file = Vec::new();
-    let mut writer = Writer::new(&mut file, reader.header().clone()).expect("written");
+    let mut writer = Writer::new(&mut file, reader.header().clone()).expect("write trace");
     let mut changed = None;
-    while let Some(records) = reader.next_block().expect("read") {
+    while let Some(records) = reader.next_block().expect("read trace") {
         for mut record in records {
             let servers = reader.servers().clone();
             let index = record.actions.iter().position(|a| matches!(a, Action::Send { .. }));
             if let (None, Some(index), true) = (&changed, index, record.sequence > 500)
                 && let Action::Send { server, .. } = &mut record.actions[index]
             {
-                *server = *servers.keys().find(|other| *other != server).expect("others");
+                *server = *servers.keys().find(|other| *other != server).expect("another server");
                 changed = Some((record.sequence, index));
             }
-            writer.add(&record, &servers).expect("written");
+            writer.add(&record, &servers).expect("write trace");
         }
     }
-    writer.finish().expect("written");
-    fs::write(folder.at("changed.bgt"), file).expect("written");
+    writer.finish().expect("write trace");
+    fs::write(dir.path("changed.bgt"), file).expect("write trace");
     let (runs, _, _) =
-        tools::verify(open(&[folder.at("changed.bgt")]), false, &mut no_progress()).expect("read");
-    let first = runs[0].difference.as_ref().expect("differs");
+        tools::verify(open(&[dir.path("changed.bgt")]), false, &mut no_progress()).expect("read trace");
+    let first = runs[0].difference.as_ref().expect("a difference");
     assert_eq!(Some((first.sequence, first.index)), changed);
     assert!(first.query.is_some());
-    // What can't be verified says why: a window, a masked file.
-    let merged =
-        MergedStream::open(std::slice::from_ref(&path), 1_795_766_403_000_000_000..i64::MAX).expect("sound");
-    tools::write_all(merged, &folder.at("late.bgt"), &mut no_progress()).expect("written");
+    // A trace without the start of its run, or a masked one, can't be verified; the reason is reported.
+    let merged = MergedStream::open(std::slice::from_ref(&path), 1_795_766_403_000_000_000..i64::MAX)
+        .expect("valid trace");
+    tools::write_all(merged, &dir.path("late.bgt"), &mut no_progress()).expect("write trace");
     let (runs, _, _) =
-        tools::verify(open(&[folder.at("late.bgt")]), false, &mut no_progress()).expect("read");
+        tools::verify(open(&[dir.path("late.bgt")]), false, &mut no_progress()).expect("read trace");
     assert!(matches!(runs[0].stopped, Some(Unverifiable::Missing(1, _))), "{:?}", runs[0].stopped);
-    tools::copy(&path, &folder.at("masked.bgt"), Some(&Mask::new(b"0123456789abcdef"))).expect("masked");
+    tools::copy(&path, &dir.path("masked.bgt"), Some(&Mask::new(b"0123456789abcdef"))).expect("masked");
     let (runs, _, _) =
-        tools::verify(open(&[folder.at("masked.bgt")]), false, &mut no_progress()).expect("read");
+        tools::verify(open(&[dir.path("masked.bgt")]), false, &mut no_progress()).expect("read trace");
     assert_eq!(runs[0].stopped, Some(Unverifiable::Masked));
 }
 
-/// The first of the words that bytes hold.
-fn holds(bytes: &[u8], words: &std::collections::HashSet<[u8; 8]>) -> Option<String> {
-    let found = bytes.windows(8).position(|window| words.contains(window))?;
+/// The first of the patterns that occurs in the bytes, with its surroundings and position.
+fn find_pattern(bytes: &[u8], patterns: &std::collections::HashSet<[u8; 8]>) -> Option<String> {
+    let found = bytes.windows(8).position(|window| patterns.contains(window))?;
     Some(format!("{:?} at {found}", String::from_utf8_lossy(&bytes[found.saturating_sub(8)..found + 16])))
 }
 
 #[test]
-fn masked_files_hold_no_original_key() {
-    let folder = Folder::new("mask");
-    let made = make(&folder.at("t"), &plan(8));
+fn masked_files_contain_no_original_key() {
+    let dir = TempDir::new("mask");
+    let output = generate(&dir.path("t"), &options(8));
     let mask = Mask::new(b"a secret of sixteen bytes and more");
-    let mut words = std::collections::HashSet::<[u8; 8]>::new();
+    let mut patterns = std::collections::HashSet::<[u8; 8]>::new();
     let mut keys = BTreeMap::new();
-    for name in &made.files {
-        let path = folder.at("t").join(name);
-        let mut reader = badgergauge_trace::merge::open(&path).expect("sound");
-        while let Some(records) = reader.next_block().expect("read") {
+    for name in &output.files {
+        let path = dir.path("t").join(name);
+        let mut reader = badgergauge_trace::merge::open(&path).expect("valid trace");
+        while let Some(records) = reader.next_block().expect("read trace") {
             for record in records {
                 for event in &record.events {
                     if let Event::Query(query) = event {
-                        let key = query.key.expect("every query has one");
-                        words.extend([key.to_le_bytes(), key.to_be_bytes()]);
+                        let key = query.key.expect("a query has a key");
+                        patterns.extend([key.to_le_bytes(), key.to_be_bytes()]);
                         let hex = format!("{key:016x}").into_bytes();
-                        words.extend(hex.chunks_exact(8).filter_map(|c| c.first_chunk::<8>().copied()));
+                        patterns.extend(hex.chunks_exact(8).filter_map(|c| c.first_chunk::<8>().copied()));
                         keys.insert(key, mask.key(key));
                     }
                 }
-                for word in record.query_names.iter().filter_map(|named| named.idempotency_key.as_deref()) {
-                    words.extend(
-                        word.as_bytes().chunks_exact(8).filter_map(|c| c.first_chunk::<8>().copied()),
-                    );
+                for key in record.query_names.iter().filter_map(|named| named.idempotency_key.as_deref()) {
+                    patterns
+                        .extend(key.as_bytes().chunks_exact(8).filter_map(|c| c.first_chunk::<8>().copied()));
                 }
             }
         }
-        tools::copy(&path, &folder.at(name), Some(&mask)).expect("masked");
+        tools::copy(&path, &dir.path(name), Some(&mask)).expect("masked");
     }
-    assert!(words.len() > 500);
-    // The check can fail: the originals hold them, once unpacked.
-    let unpacked = |path: &Path| {
-        let bytes = fs::read(path).expect("there");
+    assert!(patterns.len() > 500);
+    // The same search finds the keys in an original file, so it can fail.
+    let decompressed = |path: &Path| {
+        let bytes = fs::read(path).expect("file exists");
         let mut all = bytes.clone();
         let mut at = 0;
         while let Some(next) = (at..bytes.len())
             .find(|at| badgergauge_trace::frame::FrameHeader::decode(&bytes[*at..]).is_some())
         {
-            let frame = badgergauge_trace::frame::FrameHeader::decode(&bytes[next..]).expect("found");
+            let frame =
+                badgergauge_trace::frame::FrameHeader::decode(&bytes[next..]).expect("a frame header");
             let from = next + badgergauge_trace::frame::FRAME_HEADER_LEN;
             at = from + frame.compressed_len as usize;
-            all.extend(zstd::decode_all(&bytes[from..at]).expect("sound"));
+            all.extend(zstd::decode_all(&bytes[from..at]).expect("valid trace"));
         }
         all
     };
-    assert!(holds(&unpacked(&folder.at("t").join(&made.files[0])), &words).is_some());
-    for name in &made.files {
-        assert_eq!(holds(&unpacked(&folder.at(name)), &words), None, "{name}");
+    assert!(find_pattern(&decompressed(&dir.path("t").join(&output.files[0])), &patterns).is_some());
+    for name in &output.files {
+        assert_eq!(find_pattern(&decompressed(&dir.path(name)), &patterns), None, "{name}");
     }
-    // The same key has the same stand-in at every broker, and nothing else has changed.
-    let masked: Vec<PathBuf> = made.files.iter().map(|name| folder.at(name)).collect();
-    let (whole, _) = all(open(&[folder.at("t")]));
-    let (masked, _) = all(open(&masked));
+    // A key has the same masked value at every broker, and nothing else has changed.
+    let masked: Vec<PathBuf> = output.files.iter().map(|name| dir.path(name)).collect();
+    let (whole, _) = read_all(open(&[dir.path("t")]));
+    let (masked, _) = read_all(open(&masked));
     assert_eq!(masked.len(), whole.len());
     for (key, record) in &whole {
         let other = &masked[key];
         assert!(record.actions == other.actions);
         for pair in record.events.iter().zip(&other.events) {
             if let (Event::Query(a), Event::Query(b)) = pair {
-                assert_eq!(b.key, Some(keys[&a.key.expect("has one")]));
+                assert_eq!(b.key, Some(keys[&a.key.expect("a query has a key")]));
             } else {
                 assert!(pair.0 == pair.1);
             }
@@ -307,34 +312,37 @@
 }
 
 #[test]
-fn a_story_is_the_same_by_the_index_and_by_a_full_scan() {
-    let folder = Folder::new("explain");
-    make(&folder.at("t"), &SynthOptions { rate: 110.0, servers: 8, ..plan(20) });
-    let paths = trace_files(&[folder.at("t")]).expect("there");
-    // A title-flag that was tried at two brokers.
-    let (mut merged, mut tries) = (open(&[folder.at("t")]), BTreeMap::<String, Vec<(u32, String)>>::new());
-    while let Some(record) = merged.next_record().expect("read") {
+fn explain_gives_the_same_lines_by_index_and_by_full_scan() {
+    let dir = TempDir::new("explain");
+    generate(&dir.path("t"), &SynthOptions { rate: 110.0, servers: 8, ..options(20) });
+    let paths = trace_files(&[dir.path("t")]).expect("file exists");
+    // A title-flag query that was sent to two brokers.
+    let (mut merged, mut requests) = (open(&[dir.path("t")]), BTreeMap::<String, Vec<(u32, String)>>::new());
+    while let Some(record) = merged.next_record().expect("read trace") {
         for named in record.query_names {
             if let Some(key) = named.idempotency_key {
-                tries.entry(key).or_default().push((record.source, named.name));
+                requests.entry(key).or_default().push((record.source, named.name));
             }
         }
     }
-    let two = |tries: &&Vec<(u32, String)>| tries.iter().any(|one| one.0 != tries[0].0);
-    let tries = tries.values().find(two).expect("some are tried at two brokers");
-    let (told, stats, notices) = tools::explain(&paths, &tries[0].1, false).expect("read");
-    let (scanned, all_of_it, _) = tools::explain(&paths, &tries[0].1, true).expect("read");
-    assert_eq!(told, scanned);
-    assert!(stats.blocks < all_of_it.blocks, "{stats:?} {all_of_it:?}");
-    // A broker that was killed left a file without an index, which says so.
+    let at_two_brokers =
+        |requests: &&Vec<(u32, String)>| requests.iter().any(|request| request.0 != requests[0].0);
+    let requests = requests.values().find(at_two_brokers).expect("a query that was sent to two brokers");
+    let (lines, stats, notices) = tools::explain(&paths, &requests[0].1, false).expect("read trace");
+    let (scanned, scan_stats, _) = tools::explain(&paths, &requests[0].1, true).expect("read trace");
+    assert_eq!(lines, scanned);
+    assert!(stats.blocks < scan_stats.blocks, "{stats:?} {scan_stats:?}");
+    // The file of the killed broker has no index, which the notice reports.
     assert!(notices.iter().all(|notice| notice.message.contains("not closed")), "{notices:?}");
-    let taken = told.iter().filter(|one| one.line.text.contains(" taken: title-flag ")).count();
-    assert_eq!(taken, tries.len());
-    assert!(told.is_sorted_by_key(|one| one.unix));
-    assert!(tools::explain(&paths, "nothing of this name", false).expect("read").0.is_empty());
+    let accepted = lines.iter().filter(|line| line.line.text.contains(" taken: title-flag ")).count();
+    assert_eq!(accepted, requests.len());
+    assert!(lines.is_sorted_by_key(|line| line.unix));
+    assert!(tools::explain(&paths, "nothing of this name", false).expect("read trace").0.is_empty());
 }
 
-fn small(path: &Path, run: u64, zero: i64, sequences: std::ops::RangeInclusive<u64>, masked: bool) {
+/// Writes a trace of one run with these sequence numbers, one step per millisecond. `zero` is the Unix time
+/// of clock zero in nanoseconds.
+fn write_trace(path: &Path, run: u64, zero: i64, sequences: std::ops::RangeInclusive<u64>, masked: bool) {
     let source = badgergauge_trace::Source {
         broker: "n1".into(),
         run,
@@ -342,87 +350,85 @@
         classes: vec!["c".into()],
         ..Default::default()
     };
-    let mut writer =
-        Writer::new(File::create(path).expect("made"), Header::new(vec![source], masked)).expect("written");
+    let mut writer = Writer::new(File::create(path).expect("create file"), Header::new(vec![source], masked))
+        .expect("write trace");
     for sequence in sequences {
         let time = Time(sequence * 1_000_000);
         let record = Record { sequence, time, note: format!("{run} {sequence}"), ..Record::default() };
-        writer.add(&record, &Default::default()).expect("written");
+        writer.add(&record, &Default::default()).expect("write trace");
     }
-    writer.finish().expect("written");
+    writer.finish().expect("write trace");
 }
 
 #[test]
-fn odd_inputs_are_told_apart() {
-    let folder = Folder::new("odd");
-    let (a, b, c) = (folder.at("a.bgt"), folder.at("b.bgt"), folder.at("c.bgt"));
-    // Two runs of one broker under one name, the second with a clock that was set back into the first.
-    small(&a, 1, 1_000_000_000, 1..=50, false);
-    small(&b, 2, 980_000_000, 1..=50, false);
-    let (records, order) = all(open(&[a.clone(), b.clone()]));
+fn unusual_inputs_are_merged_or_refused() {
+    let dir = TempDir::new("odd");
+    let (a, b, c) = (dir.path("a.bgt"), dir.path("b.bgt"), dir.path("c.bgt"));
+    // Two runs of one broker, the second with a clock that was set back into the time of the first.
+    write_trace(&a, 1, 1_000_000_000, 1..=50, false);
+    write_trace(&b, 2, 980_000_000, 1..=50, false);
+    let (records, order) = read_all(open(&[a.clone(), b.clone()]));
     assert_eq!((records.len(), order.len()), (100, 100));
     for run in [1, 2] {
         let own: Vec<u64> = order.iter().filter(|key| key.1 == run).map(|key| key.2).collect();
         assert_eq!(own, (1..=50).collect::<Vec<_>>());
     }
-    // The same run twice, overlapping, from files of its own.
-    small(&c, 1, 1_000_000_000, 30..=80, false);
-    assert_eq!(all(open(&[c.clone(), a.clone()])).0.len(), 80);
-    // An empty file, one of another major version, and one that is masked, are refused with their name.
-    let refused = |path: &Path| match MergedStream::open(&[a.clone(), path.to_owned()], i64::MIN..i64::MAX) {
-        Ok(_) => panic!("{} is taken", path.display()),
+    // One run in two files that overlap.
+    write_trace(&c, 1, 1_000_000_000, 30..=80, false);
+    assert_eq!(read_all(open(&[c.clone(), a.clone()])).0.len(), 80);
+    // An empty file, one of another major version and a masked one are refused, and the error names the file.
+    let refusal = |path: &Path| match MergedStream::open(&[a.clone(), path.to_owned()], i64::MIN..i64::MAX) {
+        Ok(_) => panic!("{} is accepted", path.display()),
         Err(error) => error.to_string(),
     };
-    fs::write(&b, "").expect("written");
-    assert_eq!(refused(&b), format!("{}: is empty", b.display()));
-    let mut bytes = fs::read(&a).expect("there");
+    fs::write(&b, "").expect("write trace");
+    assert_eq!(refusal(&b), format!("{}: is empty", b.display()));
+    let mut bytes = fs::read(&a).expect("file exists");
     bytes.splice(..badgergauge_trace::frame::PREAMBLE_LEN, {
-        let length = u32::from_le_bytes(bytes[12..16].try_into().expect("4")) as usize;
+        let length = u32::from_le_bytes(bytes[12..16].try_into().expect("four bytes")) as usize;
         badgergauge_trace::frame::encode_preamble((2, 0), &bytes[24..24 + length])
     });
-    fs::write(&b, &bytes).expect("written");
+    fs::write(&b, &bytes).expect("write trace");
     assert_eq!(
-        refused(&b),
+        refusal(&b),
         format!("{}: is of version 2.0, and this program reads versions 1.x", b.display())
     );
-    small(&b, 3, 0, 1..=2, true);
-    assert!(refused(&b).contains("is masked and"), "{}", refused(&b));
-    assert!(matches!(
-        trace_files(&[folder.at("t"), folder.0.join("none")]).map(|f| open_error(&f)),
-        Ok(true)
-    ));
-    // Nothing is written over, and nothing half written is left.
-    let error =
-        tools::write_all(open(std::slice::from_ref(&a)), &c, &mut no_progress()).expect_err("there already");
+    write_trace(&b, 3, 0, 1..=2, true);
+    assert!(refusal(&b).contains("is masked and"), "{}", refusal(&b));
+    assert!(matches!(trace_files(&[dir.path("t"), dir.0.join("none")]).map(|f| is_open_error(&f)), Ok(true)));
+    // An existing file is not overwritten, and no partly written file remains.
+    let error = tools::write_all(open(std::slice::from_ref(&a)), &c, &mut no_progress())
+        .expect_err("the file exists");
     assert!(matches!(error, ToolError::Write(..)), "{error}");
     assert!(
-        !folder.0.read_dir().expect("there").any(|e| e
-            .expect("read")
+        !dir.0.read_dir().expect("file exists").any(|e| e
+            .expect("read trace")
             .path()
             .to_string_lossy()
             .ends_with(".part"))
     );
 }
 
-fn open_error(files: &[PathBuf]) -> bool {
+/// Whether opening fails because a file can't be opened.
+fn is_open_error(files: &[PathBuf]) -> bool {
     matches!(MergedStream::open(files, i64::MIN..i64::MAX), Err(MergeError::Open(..)))
 }
 
 #[test]
-fn a_repaired_file_is_sound_and_holds_what_was_whole() {
-    let folder = Folder::new("repair");
-    let made = make(&folder.at("t"), &SynthOptions { brokers: 1, faults: vec![], ..plan(20) });
-    let path = folder.at("t").join(&made.files[0]);
-    let bytes = fs::read(&path).expect("there");
-    let cut = folder.at("cut.bgt");
-    fs::write(&cut, &bytes[..bytes.len() * 2 / 3]).expect("written");
-    let (written, end) = tools::copy(&cut, &folder.at("sound.bgt"), None).expect("repaired");
+fn a_repaired_file_is_valid_and_holds_the_complete_records() {
+    let dir = TempDir::new("repair");
+    let output = generate(&dir.path("t"), &SynthOptions { brokers: 1, faults: vec![], ..options(20) });
+    let path = dir.path("t").join(&output.files[0]);
+    let bytes = fs::read(&path).expect("file exists");
+    let cut = dir.path("cut.bgt");
+    fs::write(&cut, &bytes[..bytes.len() * 2 / 3]).expect("write trace");
+    let (written, end) = tools::copy(&cut, &dir.path("sound.bgt"), None).expect("repaired");
     assert!(matches!(end, FileEnd::Truncated { .. }), "{end:?}");
     assert_eq!(written.notices.len(), 1);
-    let (whole, _) = all(open(&[path]));
-    let (sound, _) = all(open(&[folder.at("sound.bgt")]));
+    let (whole, _) = read_all(open(&[path]));
+    let (sound, _) = read_all(open(&[dir.path("sound.bgt")]));
     assert!(!sound.is_empty() && sound.len() < whole.len());
     assert!(sound.iter().all(|(key, record)| whole.get(key) == Some(record)));
-    let mut reader = badgergauge_trace::merge::open(&folder.at("sound.bgt")).expect("sound");
-    assert!(reader.index().expect("read").is_some());
+    let mut reader = badgergauge_trace::merge::open(&dir.path("sound.bgt")).expect("valid trace");
+    assert!(reader.index().expect("read trace").is_some());
 }
