--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and helpers shared by the tests. They drive the module alone, with a clock of their own.
+//! Settings and helpers shared by the tests that drive the router alone, on a simulated clock.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -64,7 +64,7 @@
     }
 }
 
-/// A router and its clock.
+/// A test bench: a router and its simulated clock.
 pub struct Bench {
     pub router: Router,
     pub now: Time,
@@ -75,7 +75,7 @@
 impl Bench {
     pub fn new(settings: Settings, servers: Vec<ServerEntry>) -> Self {
         let deadlines = settings.classes.iter().map(|class| class.deadline).collect();
-        let router = Router::new(settings, 7).expect("settings hold");
+        let router = Router::new(settings, 7).expect("valid settings");
         let mut bench = Bench { router, now: Time(1_000_000_000), next: 1, deadlines };
         bench.step(&[Event::Servers(servers)]);
         bench
@@ -87,18 +87,26 @@
         actions
     }
 
+    /// Advances the clock and fires a timer.
     pub fn wait(&mut self, span: Duration) -> Vec<Action> {
         self.now = self.now.after(span);
         self.step(&[Event::Timer(TimerId(0))])
     }
 
-    /// A query of a class with one part a shard, of equal weights; ids are the query's and then its parts'.
+    /// Submits a query with one part per shard, of equal weights. Returns the id of the query, `id`, and the actions;
+    /// the parts have the ids `id + 1`, `id + 2` and so on.
     pub fn query(&mut self, class: usize, shards: &[u32]) -> (u64, Vec<Action>) {
         let weights = vec![1.0 / shards.len() as f64; shards.len()];
-        self.weighted(class, shards, &weights)
+        self.query_with_weights(class, shards, &weights)
     }
 
-    pub fn weighted(&mut self, class: usize, shards: &[u32], weights: &[f64]) -> (u64, Vec<Action>) {
+    /// Like [`Bench::query`], with a weight for each part.
+    pub fn query_with_weights(
+        &mut self,
+        class: usize,
+        shards: &[u32],
+        weights: &[f64],
+    ) -> (u64, Vec<Action>) {
         let id = self.next;
         self.next += 1 + shards.len() as u64;
         let mut events = vec![Event::Query(Query {
@@ -123,28 +131,34 @@
         (id, actions)
     }
 
-    /// A query of class 0 with one part and so much time left, in milliseconds.
-    pub fn with_left(&mut self, left: u64) -> (u64, Vec<Action>) {
-        self.one_part(left, false)
+    /// Submits a one-part query of class 0 with `left_ms` milliseconds left until its deadline.
+    pub fn query_with_time_left(&mut self, left_ms: u64) -> (u64, Vec<Action>) {
+        self.one_part(left_ms, false)
     }
 
-    /// The same, marked as a repeat.
-    pub fn repeat_with_left(&mut self, left: u64) -> (u64, Vec<Action>) {
-        self.one_part(left, true)
+    /// Like [`Bench::query_with_time_left`], marked as a retry.
+    pub fn retry_with_time_left(&mut self, left_ms: u64) -> (u64, Vec<Action>) {
+        self.one_part(left_ms, true)
     }
 
-    fn one_part(&mut self, left: u64, repeated: bool) -> (u64, Vec<Action>) {
+    fn one_part(&mut self, left_ms: u64, is_retry: bool) -> (u64, Vec<Action>) {
         let id = self.next;
         self.next += 2;
-        let (number, left) = (QueryNumber(id), ms(left));
+        let (number, time_left) = (QueryNumber(id), ms(left_ms));
         let (class, tenant, key) = (0, 0, None);
-        let query =
-            Query { id: QueryId(id), number, class, tenant, key, is_retry: repeated, time_left: left };
+        let query = Query { id: QueryId(id), number, class, tenant, key, is_retry, time_left };
         let part = Part { id: PartId(id + 1), query: number, shard: ShardId(0), weight: 1.0, hint: None };
         (id, self.step(&[Event::Query(query), Event::Part(part)]))
     }
 
-    pub fn end(&mut self, part: u64, attempt: u32, verdict: Verdict, took: Duration) -> Vec<Action> {
+    /// Reports the outcome of an attempt that took `took`.
+    pub fn finish_attempt(
+        &mut self,
+        part: u64,
+        attempt: u32,
+        verdict: Verdict,
+        took: Duration,
+    ) -> Vec<Action> {
         self.step(&[outcome(part, attempt, verdict, took)])
     }
 }
@@ -153,7 +167,7 @@
     Event::Outcome { part: PartId(part), attempt, verdict, took, load: LoadReport::default() }
 }
 
-/// Parts sent, and to whom.
+/// Returns the parts sent and the server of each, as `(part, server)`.
 pub fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
     actions
         .iter()
@@ -164,18 +178,21 @@
         .collect()
 }
 
-pub fn ends(actions: &[Action]) -> usize {
+/// Counts the queries that end: answered, refused or failed.
+pub fn count_ended_queries(actions: &[Action]) -> usize {
     let end = |a: &&Action| matches!(a, Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. });
     actions.iter().filter(end).count()
 }
 
-/// Whether a query is answered, and marked so.
-pub fn answers(actions: &[Action], id: u64, marked: bool) -> bool {
-    let is = |a: &Action| matches!(a, Action::Answer { query, complete: whole, .. } if query.0 == id && *whole == marked);
-    actions.iter().any(is)
+/// Returns whether the query is answered with the given completeness mark.
+pub fn has_answer(actions: &[Action], id: u64, expected_complete: bool) -> bool {
+    actions.iter().any(|action| match action {
+        Action::Answer { query, complete, .. } => query.0 == id && *complete == expected_complete,
+        _ => false,
+    })
 }
 
-/// Whether a query is failed.
-pub fn fails(actions: &[Action], id: u64) -> bool {
+/// Returns whether the query fails.
+pub fn has_failure(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { query, .. } if query.0 == id))
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -261,7 +261,7 @@
             sent[to[0].1 as usize] += 1;
         }
         bench.now = bench.now.after(took);
-        bench.end(id + 1, 0, Verdict::Served, took);
+        bench.finish_attempt(id + 1, 0, Verdict::Served, took);
         bench.now = bench.now.after(ms(100));
     }
     assert!(sent[1..].iter().all(|sent| *sent >= 16), "of 80 parts: {sent:?}");
@@ -311,14 +311,14 @@
     let settings = Settings { classes: vec![report], budget: None, ..settings() };
     for missing in [0.3, 0.1, 0.001] {
         let mut bench = Bench::new(settings.clone(), (1..=3).map(up).collect());
-        let (id, actions) = bench.weighted(0, &[0, 1], &[1.0 - missing, missing]);
+        let (id, actions) = bench.query_with_weights(0, &[0, 1], &[1.0 - missing, missing]);
         assert_eq!(sends(&actions).len(), 2, "{actions:?}");
         bench.now = bench.now.after(ms(100));
-        let mut seen = bench.end(id + 1, 0, Verdict::Served, ms(100));
+        let mut seen = bench.finish_attempt(id + 1, 0, Verdict::Served, ms(100));
         for _ in 0..400 {
             seen.extend(bench.wait(ms(5)));
         }
-        assert!(answers(&seen, id, false) && !answers(&seen, id, true), "{missing}: {seen:?}");
+        assert!(has_answer(&seen, id, false) && !has_answer(&seen, id, true), "{missing}: {seen:?}");
     }
 }
 
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -189,7 +189,7 @@
         let (id, actions) = old.query(0, &[0]);
         old.now = old.now.after(ms(50));
         assert_eq!(sends(&actions).len(), 1);
-        old.end(id + 1, 0, Verdict::Served, ms(50));
+        old.finish_attempt(id + 1, 0, Verdict::Served, ms(50));
     }
     let started = old.now;
     old.step(&[Event::Servers(with_start(started))]);
@@ -389,7 +389,7 @@
     let further = |bench: &mut Bench| {
         let (id, _) = bench.query(0, &[0]);
         bench.now = bench.now.after(ms(5));
-        sends(&bench.end(id + 1, 0, Verdict::Rejected, ms(5))).len()
+        sends(&bench.finish_attempt(id + 1, 0, Verdict::Rejected, ms(5))).len()
     };
     let mut old = Bench::new(settings.clone(), (1..4).map(up).collect());
     assert_eq!([further(&mut old), further(&mut old), further(&mut old)], [1, 1, 0]);
@@ -419,7 +419,7 @@
         met.push(server);
         bench.now = bench.now.after(ms(60));
         let verdict = if server == 2 { at_two } else { Verdict::Served };
-        actions = bench.end(id + 1, attempt, verdict, ms(60));
+        actions = bench.finish_attempt(id + 1, attempt, verdict, ms(60));
     }
     met
 }
@@ -472,14 +472,14 @@
             open = Some(id);
         } else {
             bench.now = bench.now.after(ms(60));
-            bench.end(id + 1, 0, Verdict::Served, ms(60));
+            bench.finish_attempt(id + 1, 0, Verdict::Served, ms(60));
         }
     }
     bench.wait(ms(100));
     assert_eq!(bench.router.avoided(), [], "it was sent to a moment ago");
     bench.wait(class().aim / 2 - ms(100));
     assert!(bench.router.avoided().contains(&ServerId(2)), "overdue");
-    bench.end(open.expect("found") + 1, 0, Verdict::NoAnswer, class().aim / 2);
+    bench.finish_attempt(open.expect("found") + 1, 0, Verdict::NoAnswer, class().aim / 2);
     assert!(bench.router.avoided().contains(&ServerId(2)), "held until it is met");
     assert!(serve_many(&mut bench, 300, Verdict::Served) > 0);
     assert_eq!(bench.router.avoided(), []);
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -46,7 +46,7 @@
     let mut refused = 0;
     for _ in 0..12 {
         let (id, actions) = bench.query(0, &[0]);
-        refused += ends(&actions);
+        refused += count_ended_queries(&actions);
         bench.now = bench.now.after(ms(900));
         bench.step(&[outcome(id + 1, 0, Verdict::Served, ms(900))]);
     }
@@ -95,12 +95,12 @@
     let mut bench = Bench::new(settings(), vec![up(1)]);
     let (id, _) = bench.query(0, &[0]);
     bench.now = bench.now.after(ms(60));
-    bench.end(id + 1, 0, Verdict::Served, ms(60));
+    bench.finish_attempt(id + 1, 0, Verdict::Served, ms(60));
     bench.now = bench.now.after(ms(100));
     let (id, actions) = bench.query(0, &[0]);
     assert_eq!(closes(&actions), None, "in use a moment ago: {actions:?}");
     bench.now = bench.now.after(ms(60));
-    bench.end(id + 1, 0, Verdict::Served, ms(60));
+    bench.finish_attempt(id + 1, 0, Verdict::Served, ms(60));
     bench.now = bench.now.after(ms(900));
     let (_, actions) = bench.query(0, &[0]);
     assert!(closes(&actions).is_some() && closes(&actions) < sent(&actions), "{actions:?}");
@@ -116,7 +116,7 @@
     for _ in 0..8 {
         let (id, _) = bench.query(0, &[0]);
         bench.now = bench.now.after(ms(50));
-        bench.end(id + 1, 0, Verdict::Served, ms(50));
+        bench.finish_attempt(id + 1, 0, Verdict::Served, ms(50));
     }
     let (id, _) = bench.query(0, &[0]);
     for _ in 0..40 {
@@ -124,7 +124,7 @@
     }
     // Its client has left, so that the part itself does not go out again.
     bench.step(&[Event::ClientGone(QueryId(id))]);
-    bench.end(id + 1, 0, Verdict::Cancelled, ms(400));
+    bench.finish_attempt(id + 1, 0, Verdict::Cancelled, ms(400));
     let (_, actions) = bench.query(0, &[1]);
     assert!(actions.contains(&Action::CloseIdle { server: ServerId(1) }), "{actions:?}");
 }
@@ -137,7 +137,7 @@
         let mut bench = Bench::new(Settings { front_nodes, ..settings() }, vec![up(1)]);
         let (id, _) = bench.query(0, &[0]);
         bench.now = bench.now.after(ms(took));
-        bench.end(id + 1, 0, verdict, ms(took));
+        bench.finish_attempt(id + 1, 0, verdict, ms(took));
         (1..200).find(|_| {
             bench.now = bench.now.after(ms(100));
             !sends(&bench.query(0, &[0]).1).is_empty()
@@ -177,8 +177,8 @@
     for _ in 0..3 {
         let (id, _) = bench.query(0, &[0]);
         bench.now = bench.now.after(ms(2));
-        let again = bench.end(id + 1, 0, Verdict::ConnectionLost, ms(2));
-        ended.push((sends(&again).len(), ends(&again)));
+        let again = bench.finish_attempt(id + 1, 0, Verdict::ConnectionLost, ms(2));
+        ended.push((sends(&again).len(), count_ended_queries(&again)));
     }
     assert_eq!(ended, [(1, 0), (0, 1), (0, 1)]);
 }
@@ -196,11 +196,11 @@
         while to == 1 && round % 3 > 0 && attempt == 0 {
             sent += 1;
             bench.now = bench.now.after(ms(2));
-            to = sends(&bench.end(id + 1, attempt, Verdict::ConnectionLost, ms(2)))[0].1;
+            to = sends(&bench.finish_attempt(id + 1, attempt, Verdict::ConnectionLost, ms(2)))[0].1;
             attempt += 1;
         }
         bench.now = bench.now.after(ms(60));
-        bench.end(id + 1, attempt, Verdict::Served, ms(60));
+        bench.finish_attempt(id + 1, attempt, Verdict::Served, ms(60));
     }
     assert!((1..=3).contains(&sent), "{sent} of 40 failed there");
 }
@@ -275,8 +275,8 @@
     let mut bench = Bench::new(settings, vec![up(1)]);
     let closed = |bench: &mut Bench, verdict: Verdict| {
         let (id, actions) = bench.query(0, &[0]);
-        bench.end(id + 1, 0, verdict, ms(100));
-        bench.end(id + 1, 1, Verdict::Served, ms(100));
+        bench.finish_attempt(id + 1, 0, verdict, ms(100));
+        bench.finish_attempt(id + 1, 1, Verdict::Served, ms(100));
         bench.now = bench.now.after(ms(900));
         actions.iter().filter(|a| matches!(a, Action::CloseIdle { .. })).count()
     };
@@ -296,8 +296,8 @@
     let served = |bench: &mut Bench, verdict: Verdict| {
         let (id, actions) = bench.query(0, &[0]);
         let closed = closes(&actions);
-        bench.end(id + 1, 0, verdict, ms(100));
-        bench.end(id + 1, 1, Verdict::Served, ms(100));
+        bench.finish_attempt(id + 1, 0, verdict, ms(100));
+        bench.finish_attempt(id + 1, 1, Verdict::Served, ms(100));
         bench.now = bench.now.after(ms(400));
         closed
     };
@@ -314,9 +314,9 @@
     let mut bench = Bench::new(Settings { retries_marked: false, ..settings() }, vec![up(1)]);
     // One last try came with all the time that remained, more than first tries have.
     for left in [2000, 2000, 2000, 2700, 2000] {
-        let (id, actions) = bench.with_left(left);
+        let (id, actions) = bench.query_with_time_left(left);
         assert_eq!(sends(&actions).len(), 1, "a first try: {left}");
-        bench.end(id + 1, 0, Verdict::Served, ms(10));
+        bench.finish_attempt(id + 1, 0, Verdict::Served, ms(10));
     }
     let again = |left: u64| Query {
         id: QueryId(900 + left),
@@ -335,7 +335,7 @@
         hint: None,
     };
     let actions = bench.step(&[Event::Query(again(1500)), Event::Part(part(1500))]);
-    assert!(sends(&actions).is_empty() && ends(&actions) == 1, "{actions:?}");
+    assert!(sends(&actions).is_empty() && count_ended_queries(&actions) == 1, "{actions:?}");
     let actions = bench.step(&[Event::Query(again(2600)), Event::Part(part(2600))]);
     assert_eq!(sends(&actions).len(), 1, "there is time left within the aim: {actions:?}");
 }
@@ -348,8 +348,8 @@
         let settings = Settings { classes: vec![class], hedging: false, ..settings() };
         let mut bench = Bench::new(settings, vec![up(1), up(2)]);
         let (id, _) = bench.query(0, &[0, 1, 2, 3]);
-        (1..=3).for_each(|p| drop(bench.end(id + p, 0, Verdict::Served, ms(100))));
-        assert_eq!(ends(&bench.wait(ms(990))), at_the_aim, "late share {late_share}");
+        (1..=3).for_each(|p| drop(bench.finish_attempt(id + p, 0, Verdict::Served, ms(100))));
+        assert_eq!(count_ended_queries(&bench.wait(ms(990))), at_the_aim, "late share {late_share}");
     }
 }
 
@@ -366,7 +366,7 @@
             let Some((part, server)) = out.pop() else { break };
             dead += usize::from(server == 1);
             let verdict = if server == 1 { Verdict::NoConnection } else { Verdict::Rejected };
-            out = sends(&bench.end(part, number, verdict, ms(1)));
+            out = sends(&bench.finish_attempt(part, number, verdict, ms(1)));
         }
         bench.wait(ms(20));
     }
@@ -446,12 +446,12 @@
     bench.now = bench.now.after(ms(1100));
     let served = outcome(id + 1, 0, Verdict::Served, ms(80));
     let actions = bench.step(&[served, Event::Timer(TimerId(0))]);
-    assert!(answers(&actions, id, true), "{actions:?}");
+    assert!(has_answer(&actions, id, true), "{actions:?}");
     let again: Vec<u64> = (0..20)
         .map(|_| {
             let (id, actions) = bench.query(0, &[0]);
             bench.now = bench.now.after(ms(80));
-            bench.end(id + 1, 0, Verdict::Served, ms(80));
+            bench.finish_attempt(id + 1, 0, Verdict::Served, ms(80));
             sends(&actions)[0].1
         })
         .collect();
@@ -548,7 +548,7 @@
         bench.now = bench.now.after(ms(150));
         assert_eq!(bench.step(&[]).contains(&cancel), !answers);
         if !answers {
-            let actions = bench.end(id + 1, 0, Verdict::Cancelled, ms(550));
+            let actions = bench.finish_attempt(id + 1, 0, Verdict::Cancelled, ms(550));
             assert!(sends(&actions).contains(&(id + 1, 2)), "{actions:?}");
         }
     }
@@ -569,8 +569,9 @@
     let mut bench = Bench::new(settings, vec![up(1), up(2)]);
     let (id, _) = bench.query(0, &[0, 1]);
     let begun = bench.now;
-    bench.end(id + 1, 0, Verdict::Served, ms(10));
-    let answered = (0..1000).find(|_| answers(&bench.wait(ms(1)), id, false)).map(|_| bench.now.since(begun));
+    bench.finish_attempt(id + 1, 0, Verdict::Served, ms(10));
+    let answered =
+        (0..1000).find(|_| has_answer(&bench.wait(ms(1)), id, false)).map(|_| bench.now.since(begun));
     assert!((ms(950)..=ms(990)).contains(&answered.expect("in time")), "{answered:?} of 1 s");
 }
 
@@ -585,11 +586,11 @@
     let sent = sends(&actions);
     assert_eq!(sent.len(), 2);
     // Of the second part's server another part comes back: its waiting room is full.
-    let actions = bench.end(id + 2, 0, Verdict::Rejected, ms(1));
-    assert_eq!((sends(&actions).len(), ends(&actions)), (0, 0), "it waits: {actions:?}");
+    let actions = bench.finish_attempt(id + 2, 0, Verdict::Rejected, ms(1));
+    assert_eq!((sends(&actions).len(), count_ended_queries(&actions)), (0, 0), "it waits: {actions:?}");
     // A query with nothing out or served is refused at once, as ever.
     let (_, actions) = bench.query(0, &[1]);
-    assert_eq!((sends(&actions).len(), ends(&actions)), (0, 1), "{actions:?}");
+    assert_eq!((sends(&actions).len(), count_ended_queries(&actions)), (0, 1), "{actions:?}");
     let mut again = Vec::new();
     for _ in 0..300 {
         again.extend(bench.wait(ms(10)).into_iter().filter(|a| matches!(a, Action::Send { .. })));
@@ -607,7 +608,7 @@
     let mut sent = [0, 0];
     for round in 0..300 {
         while let Some((_, part)) = out.pop_front_if(|(at, _)| *at <= round) {
-            bench.end(part, 0, Verdict::Served, ms(1900));
+            bench.finish_attempt(part, 0, Verdict::Served, ms(1900));
         }
         let (_, actions) = bench.query(0, &[0]);
         for (part, _) in sends(&actions) {
@@ -628,11 +629,11 @@
         let settings = Settings { classes: vec![late_class.clone()], ..settings() };
         let mut bench = Bench::new(settings, vec![up(1)]);
         for _ in 0..20 {
-            let (id, _) = bench.with_left(3000);
+            let (id, _) = bench.query_with_time_left(3000);
             bench.now = bench.now.after(ms(100));
-            bench.end(id + 1, 0, Verdict::Served, ms(100));
+            bench.finish_attempt(id + 1, 0, Verdict::Served, ms(100));
         }
-        let (_, actions) = bench.repeat_with_left(left);
+        let (_, actions) = bench.retry_with_time_left(left);
         let allowed = actions.iter().find_map(|a| match a {
             Action::Send { why, .. } => Some(why.allowed),
             _ => None,
@@ -737,12 +738,12 @@
         let (id, actions) = bench.query(0, &[0]);
         let home = sends(&actions)[0].1;
         bench.now = bench.now.after(ms(100));
-        bench.end(id + 1, 0, Verdict::Served, ms(100));
+        bench.finish_attempt(id + 1, 0, Verdict::Served, ms(100));
         bench.step(&[told(3 - home)]);
         let (id, _) = bench.query(0, &[0]);
         (0..40).for_each(|_| drop(bench.wait(ms(10))));
         bench.step(&[told(if heard_by_others { home } else { 3 - home })]);
-        let silent = bench.end(id + 1, 0, Verdict::Cancelled, ms(400));
+        let silent = bench.finish_attempt(id + 1, 0, Verdict::Cancelled, ms(400));
         // Its other holder drains, so that the next part comes back.
         let draining = ServerEntry { state: ServerState::Draining, ..up(3 - home) };
         let mut later = silent;
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -11,9 +11,9 @@
     let (id, actions) = bench.query(0, &[0, 1]);
     assert_eq!(sends(&actions).len(), 2);
     bench.now = bench.now.after(ms(50));
-    assert_eq!(ends(&bench.end(id + 1, 0, Verdict::Served, ms(50))), 0);
-    let actions = bench.end(id + 2, 0, Verdict::Served, ms(50));
-    assert!(answers(&actions, id, true));
+    assert_eq!(count_ended_queries(&bench.finish_attempt(id + 1, 0, Verdict::Served, ms(50))), 0);
+    let actions = bench.finish_attempt(id + 2, 0, Verdict::Served, ms(50));
+    assert!(has_answer(&actions, id, true));
 }
 
 #[test]
@@ -37,12 +37,12 @@
     let mut bench = Bench::new(settings, vec![up(1)]);
     let (id, _) = bench.query(0, &[0, 1]);
     bench.now = bench.now.after(ms(50));
-    assert_eq!(ends(&bench.end(id + 1, 0, Verdict::Served, ms(50))), 0);
+    assert_eq!(count_ended_queries(&bench.finish_attempt(id + 1, 0, Verdict::Served, ms(50))), 0);
     let mut actions = Vec::new();
     for _ in 0..95 {
         actions.extend(bench.wait(ms(10)));
     }
-    assert!(answers(&actions, id, false), "{actions:?}");
+    assert!(has_answer(&actions, id, false), "{actions:?}");
     assert!(bench.now <= Time(2_000_000_000));
 }
 
@@ -104,9 +104,9 @@
     settings.classes[0].retry_safety = RetrySafety::Unsafe;
     let mut bench = Bench::new(settings, vec![up(1), up(2)]);
     let (id, _) = bench.query(0, &[0]);
-    let actions = bench.end(id + 1, 0, Verdict::Error, ms(5));
+    let actions = bench.finish_attempt(id + 1, 0, Verdict::Error, ms(5));
     assert!(sends(&actions).is_empty());
-    assert!(fails(&actions, id), "{actions:?}");
+    assert!(has_failure(&actions, id), "{actions:?}");
 }
 
 #[test]
@@ -115,7 +115,7 @@
     settings.classes[0].retry_safety = RetrySafety::Unsafe;
     let mut bench = Bench::new(settings, vec![up(1), up(2)]);
     let (id, first) = bench.query(0, &[0]);
-    let again = bench.end(id + 1, 0, Verdict::Rejected, ms(1));
+    let again = bench.finish_attempt(id + 1, 0, Verdict::Rejected, ms(1));
     assert_eq!(sends(&again).len(), 1);
     assert_ne!(sends(&first)[0].1, sends(&again)[0].1);
 }
@@ -127,7 +127,7 @@
     for _ in 0..40 {
         let (id, _) = bench.query(0, &[0]);
         for attempt in 0..4 {
-            retries += sends(&bench.end(id + 1, attempt, Verdict::ConnectionLost, ms(1))).len();
+            retries += sends(&bench.finish_attempt(id + 1, attempt, Verdict::ConnectionLost, ms(1))).len();
         }
     }
     // 80 queries and parts were accepted: the budget allows 5 retries and a twentieth of those 80.
@@ -151,7 +151,7 @@
     for _ in 0..400 {
         actions.extend(bench.wait(ms(10)));
     }
-    assert_eq!(ends(&actions), 1);
+    assert_eq!(count_ended_queries(&actions), 1);
 }
 
 #[test]
@@ -162,9 +162,9 @@
     let mut bench = Bench::new(settings, vec![up(1), up(2)]);
     let (id, actions) = bench.query(0, &[0, 1, 2, 3]);
     assert_eq!(sends(&actions).len(), 4);
-    bench.end(id + 1, 0, Verdict::Served, ms(20));
-    let actions = bench.end(id + 3, 0, Verdict::Served, ms(20));
-    assert!(answers(&actions, id, true), "{actions:?}");
+    bench.finish_attempt(id + 1, 0, Verdict::Served, ms(20));
+    let actions = bench.finish_attempt(id + 3, 0, Verdict::Served, ms(20));
+    assert!(has_answer(&actions, id, true), "{actions:?}");
 }
 
 #[test]
@@ -219,7 +219,7 @@
         for _ in 0..110 {
             actions.extend(bench.wait(ms(10)));
         }
-        assert_eq!(ends(&actions), 1);
+        assert_eq!(count_ended_queries(&actions), 1);
     }
 }
 
@@ -244,8 +244,8 @@
                     continue;
                 }
                 bench.now = bench.now.after(ms(20));
-                let actions = bench.end(query + 1, 0, Verdict::Served, ms(20));
-                served += u64::from(answers(&actions, query, true));
+                let actions = bench.finish_attempt(query + 1, 0, Verdict::Served, ms(20));
+                served += u64::from(has_answer(&actions, query, true));
             }
             bench.wait(ms(100));
         }
--- a/tests/reasons.rs
+++ b/tests/reasons.rs
@@ -40,7 +40,7 @@
 fn a_part_at_its_home_replica_and_a_complete_answer() {
     let mut bench = Bench::new(settings(), vec![up(1), up(2)]);
     let (id, ..) = send_to_home(&mut bench);
-    let ended = ending(&bench.end(id + 1, 0, Verdict::Served, ms(50)));
+    let ended = ending(&bench.finish_attempt(id + 1, 0, Verdict::Served, ms(50)));
     assert_eq!(ended, Some(Ending { cause: Cause::Complete, missing: vec![] }));
 }
 
@@ -51,7 +51,7 @@
         let (id, actions) = bench.query(0, &[0]);
         let found =
             choices(&actions).iter().find(|(_, why)| why.home.0 == server).map(|(_, why)| why.bypassed);
-        bench.end(id + 1, 0, Verdict::Served, ms(50));
+        bench.finish_attempt(id + 1, 0, Verdict::Served, ms(50));
         found
     })?
 }
@@ -76,10 +76,10 @@
     for _ in 0..12 {
         let (id, actions) = bench.query(0, &[0]);
         let verdict = if choices(&actions)[0].0.0 == 1 { Verdict::Error } else { Verdict::Served };
-        let again = bench.end(id + 1, 0, verdict, ms(50));
+        let again = bench.finish_attempt(id + 1, 0, verdict, ms(50));
         if let [(server, why)] = choices(&again)[..] {
             assert_eq!((server.0, why.home.0, why.bypassed), (2, 1, Some(BypassReason::Tried)));
-            bench.end(id + 1, 1, Verdict::Served, ms(50));
+            bench.finish_attempt(id + 1, 1, Verdict::Served, ms(50));
         }
     }
     assert_eq!(bypass_reason(&mut bench, 1), Some(BypassReason::Suspect));
@@ -104,7 +104,7 @@
 #[test]
 fn a_refusal_for_lack_of_time_is_explained() {
     let mut bench = Bench::new(settings(), vec![up(1), up(2)]);
-    let (id, actions) = bench.with_left(20);
+    let (id, actions) = bench.query_with_time_left(20);
     let missing = vec![(PartId(id + 1), MissingReason::Late)];
     assert_eq!(ending(&actions), Some(Ending { cause: Cause::BelowFloor, missing }));
 }
@@ -114,7 +114,7 @@
     let settings = Settings { max_attempts: 1, ..settings() };
     let mut bench = Bench::new(settings, vec![up(1), up(2)]);
     let (id, _) = bench.query(0, &[0, 1]);
-    let ended = ending(&bench.end(id + 1, 0, Verdict::Error, ms(5))).expect("ends");
+    let ended = ending(&bench.finish_attempt(id + 1, 0, Verdict::Error, ms(5))).expect("ends");
     assert_eq!(ended.cause, Cause::BelowFloor);
     assert_eq!(
         ended.missing,
@@ -127,7 +127,7 @@
     let class = Class { floor: 0.5, partial_worth: 0.8, late_share: 0.1, ..class() };
     let mut bench = Bench::new(Settings { classes: vec![class], ..settings() }, vec![up(1), up(2)]);
     let (id, _) = bench.query(0, &[0, 1]);
-    assert_eq!(ending(&bench.end(id + 1, 0, Verdict::Served, ms(50))), None);
+    assert_eq!(ending(&bench.finish_attempt(id + 1, 0, Verdict::Served, ms(50))), None);
     let ended = (0..300).find_map(|_| ending(&bench.wait(ms(10)))).expect("ends");
     assert_eq!(ended.cause, Cause::TimeUp);
     assert_eq!(ended.missing, [(PartId(id + 2), MissingReason::InFlight)]);
