--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -93,8 +93,8 @@
         self.step(&[Event::Timer(TimerId(0))])
     }
 
-    /// Submits a query with one part per shard, of equal weights. Returns the id of the query, `id`, and the actions;
-    /// the parts have the ids `id + 1`, `id + 2` and so on.
+    /// Submits a query with one part per shard, of equal weights. Returns the id of the query, `id`, and the
+    /// actions; the parts have the ids `id + 1`, `id + 2` and so on.
     pub fn query(&mut self, class: usize, shards: &[u32]) -> (u64, Vec<Action>) {
         let weights = vec![1.0 / shards.len() as f64; shards.len()];
         self.query_with_weights(class, shards, &weights)
