--- a/benches/closed_loop/main.rs
+++ b/benches/closed_loop/main.rs
@@ -1,14 +1,17 @@
-//! What a query costs the broker's process, and how long it takes, where clients ask again as soon as they are
-//! answered and tile servers answer at once: on loopback, with the built program as a process of its own.
+//! Closed-loop benchmark: measures the broker's CPU time per query and the latency, with clients that send
+//! the next query as soon as they have a response and tile servers that respond at once. Runs on loopback,
+//! with the broker as a separate process.
 //!
-//! `cargo bench --bench closed_loop` (Linux). Variables set what it does:
+//! `cargo bench --bench closed_loop` (Linux). Environment variables:
 //!
-//! - `BENCH_PROGRAM`: the broker's program; the one of this build where it is not set.
-//! - `BENCH_AGAINST`: a second program, of another commit say. Both run in turn, and ratios are taken pair by pair.
-//! - `BENCH_ROUNDS`: how often, 3 where it is not set.
-//! - `BENCH_SEED`: what the queries are drawn from, 1 where it is not set.
+//! - `BENCH_PROGRAM`: the broker program; by default that of this build.
+//! - `BENCH_AGAINST`: a second program to compare with, for example of another commit. Both run in turn, and ratios
+//!   are computed for each pair of runs.
+//! - `BENCH_ROUNDS`: the number of rounds, by default 3.
+//! - `BENCH_SEED`: the random seed of the queries, by default 1.
 //!
-//! No verdict hangs on it. Each answer that is not a whole 200 is counted, by its status and reason.
+//! The results are informational; no check depends on them. Responses other than a complete 200 are counted
+//! by status and reason.
 
 mod client;
 #[path = "../support/mod.rs"]
@@ -20,50 +23,53 @@
 use std::str::FromStr;
 use std::thread;
 
-use client::{Answers, Client};
-use support::{Broker, Folder};
+use client::{Client, Results};
+use support::{Broker, TempDir};
 
 const CLIENTS: usize = 64;
 const QUERIES_PER_CLIENT: usize = 400;
-/// Before anything is counted: connections come up, and buffers grow to what they need.
-const WARM_UP_PER_CLIENT: usize = 25;
+/// Queries per client before the measurement, which set up connections and grow buffers to their working
+/// size.
+const WARM_UP_QUERIES_PER_CLIENT: usize = 25;
 const SERVERS: usize = 6;
+/// Replicas of each shard.
 const REPLICAS: usize = 2;
-const MOST_OPEN: usize = 1000;
+/// The broker's limit on open queries.
+const MAX_OPEN_QUERIES: usize = 1000;
 
-/// What one run gave.
-struct Run {
-    /// CPU of the broker's process for a query, in microseconds.
-    cpu: f64,
-    /// Median time of a query, in milliseconds.
-    median: f64,
-    /// 99th percentile of it.
-    late: f64,
-    /// Queries that were not answered whole.
-    bad: usize,
+/// The result of one run.
+struct RunResult {
+    /// CPU time of the broker process per query, in microseconds.
+    cpu_micros: f64,
+    /// Median latency, in milliseconds.
+    median_ms: f64,
+    /// 99th percentile of the latency, in milliseconds.
+    p99_ms: f64,
+    /// Number of queries without a complete answer.
+    failed: usize,
 }
 
 fn main() {
-    // `cargo test --benches` runs it so.
+    // `cargo test --benches` passes this flag.
     if env::args().any(|argument| argument == "--test") {
         return;
     }
-    let own = PathBuf::from(env!("CARGO_BIN_EXE_badgergauge"));
-    let program = env::var_os("BENCH_PROGRAM").map_or(own, PathBuf::from);
+    let own_program = PathBuf::from(env!("CARGO_BIN_EXE_badgergauge"));
+    let program = env::var_os("BENCH_PROGRAM").map_or(own_program, PathBuf::from);
     let against = env::var_os("BENCH_AGAINST").map(PathBuf::from);
-    let rounds: usize = variable("BENCH_ROUNDS", 3).max(1);
-    let seed: u64 = variable("BENCH_SEED", 1);
+    let rounds: usize = env_or("BENCH_ROUNDS", 3).max(1);
+    let seed: u64 = env_or("BENCH_SEED", 1);
     let servers = support::tile_servers(SERVERS);
-    let folder = Folder::new().expect("a folder");
-    let config = support::config(&servers, REPLICAS, MOST_OPEN);
-    fs::write(folder.path().join("config.json"), config.to_string()).expect("written");
-    fs::write(folder.path().join("service.yaml"), "# off\n").expect("written");
+    let dir = TempDir::new().expect("temporary directory created");
+    let config = support::config(&servers, REPLICAS, MAX_OPEN_QUERIES);
+    fs::write(dir.path().join("config.json"), config.to_string()).expect("written");
+    fs::write(dir.path().join("service.yaml"), "# off\n").expect("written");
 
     let mut pairs = Vec::new();
     for round in 0..rounds {
-        let this = run(&program, &folder, seed + round as u64);
+        let this = run(&program, &dir, seed + round as u64);
         print_run(round, "program", &this);
-        let other = against.as_ref().map(|program| run(program, &folder, seed + round as u64));
+        let other = against.as_ref().map(|program| run(program, &dir, seed + round as u64));
         if let Some(other) = &other {
             print_run(round, "against", other);
         }
@@ -76,78 +82,78 @@
     }
 }
 
-/// A variable of the environment, or what holds where it is not set.
-fn variable<T: FromStr>(name: &str, otherwise: T) -> T {
+/// Returns the value of an environment variable, or a default where it is not set.
+fn env_or<T: FromStr>(name: &str, default: T) -> T {
     match env::var(name) {
-        Ok(text) => text.parse().unwrap_or_else(|_| panic!("{name}: {text} is no such number")),
-        Err(_) => otherwise,
+        Ok(text) => text.parse().unwrap_or_else(|_| panic!("{name}: {text} is not a valid number")),
+        Err(_) => default,
     }
 }
 
-/// Plays all clients over one broker.
-fn run(program: &Path, folder: &Folder, seed: u64) -> Run {
-    let broker = Broker::start(program, folder);
+/// Runs all clients against one broker.
+fn run(program: &Path, dir: &TempDir, seed: u64) -> RunResult {
+    let broker = Broker::start(program, dir);
     let mut clients: Vec<Client> =
         (0..CLIENTS).map(|number| Client::connect(broker.address(), number, seed)).collect();
-    ask_all(&mut clients, WARM_UP_PER_CLIENT);
-    let before = broker.cpu_micros();
-    let answers = ask_all(&mut clients, QUERIES_PER_CLIENT);
-    let after = broker.cpu_micros();
+    run_clients(&mut clients, WARM_UP_QUERIES_PER_CLIENT);
+    let cpu_before = broker.cpu_micros();
+    let results = run_clients(&mut clients, QUERIES_PER_CLIENT);
+    let cpu_after = broker.cpu_micros();
     drop(clients);
     broker.stop();
-    for (what, count) in &answers.bad {
-        println!("    {count} answered: {what}");
+    for (reason, count) in &results.failures {
+        println!("    {count} failed: {reason}");
     }
-    Run {
-        cpu: (after - before) / (CLIENTS * QUERIES_PER_CLIENT) as f64,
-        median: support::median(answers.times.iter().copied()),
-        late: support::quantile(answers.times.iter().copied(), 0.99),
-        bad: answers.bad.values().sum(),
+    RunResult {
+        cpu_micros: (cpu_after - cpu_before) / (CLIENTS * QUERIES_PER_CLIENT) as f64,
+        median_ms: support::median(results.latencies_ms.iter().copied()),
+        p99_ms: support::quantile(results.latencies_ms.iter().copied(), 0.99),
+        failed: results.failures.values().sum(),
     }
 }
 
-/// Each client asks so many queries, one after another, all clients at once.
-fn ask_all(clients: &mut [Client], queries: usize) -> Answers {
-    let mut all = Answers::default();
+/// Runs all clients in parallel, each with the given number of queries one after another.
+fn run_clients(clients: &mut [Client], queries: usize) -> Results {
+    let mut all = Results::default();
     thread::scope(|scope| {
         let running: Vec<_> =
-            clients.iter_mut().map(|client| scope.spawn(move || client.ask(queries))).collect();
+            clients.iter_mut().map(|client| scope.spawn(move || client.run_queries(queries))).collect();
         for thread in running {
-            all.add(thread.join().expect("a client's thread"));
+            all.merge(thread.join().expect("a client's thread"));
         }
     });
     all
 }
 
-fn print_run(round: usize, which: &str, run: &Run) {
+fn print_run(round: usize, which: &str, run: &RunResult) {
     println!(
-        "round {round}, {which}: {:.1} us CPU a query, median {:.2} ms, 99th percentile {:.2} ms, {} bad",
-        run.cpu, run.median, run.late, run.bad
+        "round {round}, {which}: {:.1} us CPU per query, median {:.2} ms, 99th percentile {:.2} ms, {} failed",
+        run.cpu_micros, run.median_ms, run.p99_ms, run.failed
     );
 }
 
-fn print_medians<'a>(which: &str, runs: impl Iterator<Item = &'a Run> + Clone) {
+fn print_medians<'a>(which: &str, runs: impl Iterator<Item = &'a RunResult> + Clone) {
     println!(
-        "{which}: {:.1} us CPU a query, median {:.2} ms, 99th percentile {:.2} ms (medians), {} bad in all",
-        support::median(runs.clone().map(|run| run.cpu)),
-        support::median(runs.clone().map(|run| run.median)),
-        support::median(runs.clone().map(|run| run.late)),
-        runs.map(|run| run.bad).sum::<usize>()
+        "{which}: {:.1} us CPU per query, median {:.2} ms, 99th percentile {:.2} ms (medians), {} failed",
+        support::median(runs.clone().map(|run| run.cpu_micros)),
+        support::median(runs.clone().map(|run| run.median_ms)),
+        support::median(runs.clone().map(|run| run.p99_ms)),
+        runs.map(|run| run.failed).sum::<usize>()
     );
 }
 
-fn print_ratios(pairs: &[(Run, Option<Run>)]) {
-    let ratio = |figure: fn(&Run) -> f64| {
-        let ratios = pairs.iter().filter_map(|(this, other)| Some(figure(this) / figure(other.as_ref()?)));
+fn print_ratios(pairs: &[(RunResult, Option<RunResult>)]) {
+    let ratio = |value: fn(&RunResult) -> f64| {
+        let ratios = pairs.iter().filter_map(|(this, other)| Some(value(this) / value(other.as_ref()?)));
         let ratios: Vec<f64> = ratios.collect();
-        let (least, most) = (support::quantile(ratios.clone(), 0.0), support::quantile(ratios.clone(), 1.0));
-        format!("{:.3} ({least:.3} to {most:.3})", support::median(ratios))
+        let (min, max) = (support::quantile(ratios.clone(), 0.0), support::quantile(ratios.clone(), 1.0));
+        format!("{:.3} ({min:.3} to {max:.3})", support::median(ratios))
     };
     println!(
-        "ratios, median of {} pairs: CPU {}, median time {}, 99th percentile {}",
+        "ratios, median of {} pairs: CPU {}, median latency {}, 99th percentile {}",
         pairs.len(),
-        ratio(|run| run.cpu),
-        ratio(|run| run.median),
-        ratio(|run| run.late)
+        ratio(|run| run.cpu_micros),
+        ratio(|run| run.median_ms),
+        ratio(|run| run.p99_ms)
     );
 }
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,4 +1,5 @@
-//! Recorded exchanges, played against the program: `tests/exchanges/README.md` says how they are written.
+//! Replays recorded exchanges against the broker's program. `tests/exchanges/README.md` documents their
+//! format.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -12,14 +13,19 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// Long after anything that works has happened; no verdict hangs on it.
-const HANGS: Duration = Duration::from_secs(20);
+/// Timeout of each expected event, far longer than a working program needs; no test depends on its exact
+/// value.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The agents of discovery: the one that the program starts with, and another.
-const DISCOVERY: [&str; 2] = ["d", "e"];
+/// Actor names of the discovery agents: the one that the program starts with, and an alternative.
+const DISCOVERY_ACTORS: [&str; 2] = ["d", "e"];
 
-/// A listening stand-in: its address and the connections made to it.
-struct StandIn(SocketAddr, Receiver<TcpStream>);
+/// A listening stand-in for a tile server or a discovery agent.
+struct StandIn {
+    address: SocketAddr,
+    /// Connections in the order in which they were accepted.
+    connections: Receiver<TcpStream>,
+}
 
 impl StandIn {
     fn new() -> Self {
@@ -27,18 +33,29 @@
         let address = listener.local_addr().expect("bound");
         let (sender, receiver) = channel();
         thread::spawn(move || listener.incoming().flatten().try_for_each(|stream| sender.send(stream)));
-        StandIn(address, receiver)
+        StandIn { address, connections: receiver }
     }
 }
 
+/// A connection between the test and the program.
+struct Connection {
+    stream: TcpStream,
+    /// Bytes read and not yet matched.
+    unmatched: Vec<u8>,
+}
+
+/// Replays one exchange script.
 struct Player {
     dir: PathBuf,
     stand_ins: HashMap<String, StandIn>,
-    /// Connections by the name of their actor, with what was read and not compared yet.
-    links: HashMap<String, (TcpStream, Vec<u8>)>,
+    /// Connections by actor name.
+    connections: HashMap<String, Connection>,
     config: Value,
     program: Option<Child>,
+    /// Log lines after the program has started to listen.
     log: Option<Receiver<String>>,
+    /// Listening addresses of the program, by actor kind: `c` for the platform's front, `g` for the OGC
+    /// front.
     fronts: HashMap<&'static str, SocketAddr>,
 }
 
@@ -55,13 +72,13 @@
 impl Player {
     fn new(name: &str) -> Self {
         let dir = std::env::temp_dir().join(format!("badgergauge-{}-{name}", std::process::id()));
-        fs::create_dir_all(&dir).expect("a folder");
+        fs::create_dir_all(&dir).expect("temporary directory created");
         let config = serde_json::from_str(include_str!("exchanges/config.json")).expect("JSON");
-        let stand_ins = DISCOVERY.map(|name| (name.to_owned(), StandIn::new())).into();
+        let stand_ins = DISCOVERY_ACTORS.map(|name| (name.to_owned(), StandIn::new())).into();
         Player {
             dir,
             stand_ins,
-            links: HashMap::new(),
+            connections: HashMap::new(),
             config,
             program: None,
             log: None,
@@ -69,12 +86,12 @@
         }
     }
 
-    /// Puts the addresses of stand-ins in.
-    fn fill(&self, text: &str) -> String {
-        let fill = |text: String, (name, s): (&String, &StandIn)| {
-            text.replace(&format!("{{{name}}}"), &s.0.to_string())
+    /// Replaces `{name}` by the address of the stand-in of that name.
+    fn fill_addresses(&self, text: &str) -> String {
+        let replace = |text: String, (name, stand_in): (&String, &StandIn)| {
+            text.replace(&format!("{{{name}}}"), &stand_in.address.to_string())
         };
-        self.stand_ins.iter().fold(text.to_owned(), fill)
+        self.stand_ins.iter().fold(text.to_owned(), replace)
     }
 
     fn start(&mut self) {
@@ -84,7 +101,7 @@
             .env("BALANCER_CONFIG", file)
             .env("BALANCER_NAME", "n0")
             .env("BALANCER_LISTEN", "127.0.0.1:0")
-            .env("BALANCER_DISCOVERY", self.stand_ins["d"].0.to_string())
+            .env("BALANCER_DISCOVERY", self.stand_ins["d"].address.to_string())
             .envs(self.dir.join("ogc.yaml").exists().then(|| ("BALANCER_OGC", self.dir.join("ogc.yaml"))))
             .stderr(Stdio::piped())
             .spawn()
@@ -113,35 +130,41 @@
         self.program = Some(program);
     }
 
-    /// The connection of an actor: a client's is opened at its first use, a stand-in's is waited for.
-    fn link(&mut self, actor: &str) -> &mut (TcpStream, Vec<u8>) {
+    /// Returns an actor's connection. A client's is opened at its first use; a stand-in waits for the
+    /// program's.
+    fn connection(&mut self, actor: &str) -> &mut Connection {
         let kind = actor.trim_end_matches(char::is_numeric);
-        if !self.links.contains_key(actor) {
+        if !self.connections.contains_key(actor) {
             let stream = match (self.fronts.get(kind), self.stand_ins.get(kind)) {
-                (Some(front), _) => TcpStream::connect(front).expect("the front takes it"),
-                (None, Some(stand_in)) => stand_in.1.recv_timeout(HANGS).expect("a connection comes"),
-                _ => panic!("no actor {actor}"),
+                (Some(front), _) => TcpStream::connect(front).expect("the front accepts connections"),
+                (None, Some(stand_in)) => {
+                    stand_in.connections.recv_timeout(EVENT_TIMEOUT).expect("the program connects")
+                }
+                _ => panic!("unknown actor {actor}"),
             };
-            stream.set_read_timeout(Some(HANGS)).expect("set");
-            self.links.insert(actor.to_owned(), (stream, Vec::new()));
+            stream.set_read_timeout(Some(EVENT_TIMEOUT)).expect("set");
+            self.connections.insert(actor.to_owned(), Connection { stream, unmatched: Vec::new() });
         }
-        self.links.get_mut(actor).expect("there")
+        self.connections.get_mut(actor).expect("inserted above")
     }
 
+    /// Reads from an actor's connection and returns the number of unmatched bytes, or 0 if the connection was
+    /// reset.
     fn read(&mut self, actor: &str) -> usize {
-        let (stream, bytes) = self.link(actor);
+        let Connection { stream, unmatched: bytes } = self.connection(actor);
         let mut buffer = [0; 4096];
         match stream.read(&mut buffer) {
             Ok(read) => bytes.extend_from_slice(&buffer[..read]),
             Err(error) if error.kind() == ErrorKind::ConnectionReset => return 0,
-            Err(error) => panic!("{actor}: {error}; so far {:?}", String::from_utf8_lossy(bytes)),
+            Err(error) => panic!("{actor}: {error}; unmatched so far: {:?}", String::from_utf8_lossy(bytes)),
         }
         bytes.len()
     }
 
-    fn frame(&mut self, actor: &str) -> String {
+    /// Reads the next frame of the tile server protocol, without its length.
+    fn read_frame(&mut self, actor: &str) -> String {
         loop {
-            let bytes = &mut self.link(actor).1;
+            let bytes = &mut self.connection(actor).unmatched;
             if let Some((head, rest)) = bytes.split_first_chunk::<4>() {
                 let length = u32::from_be_bytes(*head) as usize;
                 if rest.len() >= length {
@@ -150,62 +173,71 @@
                     return frame;
                 }
             }
-            let before = self.link(actor).1.len();
-            assert!(self.read(actor) > before, "{actor}: the connection ended");
+            let before = self.connection(actor).unmatched.len();
+            assert!(self.read(actor) > before, "{actor}: the connection was closed");
         }
     }
 
-    fn speaks_frames(&self, actor: &str) -> bool {
+    /// Returns whether an actor uses the framed tile server protocol rather than HTTP.
+    fn uses_frames(&self, actor: &str) -> bool {
         let kind = actor.trim_end_matches(char::is_numeric);
-        self.stand_ins.contains_key(kind) && !DISCOVERY.contains(&kind)
+        self.stand_ins.contains_key(kind) && !DISCOVERY_ACTORS.contains(&kind)
     }
 
+    /// Reads until the input starts with a match of the pattern; a frame must match it completely.
     fn expect(&mut self, actor: &str, pattern: &str) {
-        if self.speaks_frames(actor) {
-            let frame = self.frame(actor);
-            assert_eq!(matched(&frame, pattern), Some(frame.len()), "{actor}: {frame:?} is not {pattern:?}");
+        if self.uses_frames(actor) {
+            let frame = self.read_frame(actor);
+            assert_eq!(
+                matching_prefix_len(&frame, pattern),
+                Some(frame.len()),
+                "{actor}: {frame:?} does not match {pattern:?}"
+            );
             return;
         }
         loop {
-            let bytes = &mut self.link(actor).1;
+            let bytes = &mut self.connection(actor).unmatched;
             let text = String::from_utf8_lossy(bytes).into_owned();
-            if let Some(length) = matched(&text, pattern) {
+            if let Some(length) = matching_prefix_len(&text, pattern) {
                 bytes.drain(..length);
                 return;
             }
             let before = bytes.len();
-            assert!(self.read(actor) > before, "{actor}: {text:?} is not {pattern:?}");
+            assert!(self.read(actor) > before, "{actor}: {text:?} does not match {pattern:?}");
         }
     }
 
+    /// Sends a message, with `Length: *` in its head replaced by the length of the body.
     fn send(&mut self, actor: &str, text: &str) {
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((text, ""));
         let mut bytes = head.replace("Length: *", &format!("Length: {}", body.len())).into_bytes();
         bytes.extend_from_slice(&text.as_bytes()[head.len()..]);
-        if self.speaks_frames(actor) {
+        if self.uses_frames(actor) {
             let length = u32::try_from(bytes.len()).expect("short");
             bytes.splice(..0, length.to_be_bytes());
         }
-        self.link(actor).0.write_all(&bytes).expect("written");
+        self.connection(actor).stream.write_all(&bytes).expect("written");
     }
 
+    /// Runs one line of a script, with the text that belongs to it.
     fn play(&mut self, words: &[&str], text: &str) {
         match *words {
             ["servers", ref servers @ ..] => {
                 for (cell, name) in servers.iter().enumerate() {
                     let stand_in = StandIn::new();
-                    let line = json!({"name": name, "address": stand_in.0.to_string(), "zone": "z", "type": "m",
-                        "group": cell, "status": "up", "weight": 1.0, "since_ms": 0});
+                    let entry = json!({"name": name, "address": stand_in.address.to_string(), "zone": "z",
+                        "type": "m", "group": cell, "status": "up", "weight": 1.0, "since_ms": 0});
                     self.stand_ins.insert((*name).to_owned(), stand_in);
-                    self.config["known"]["endpoints"].as_array_mut().expect("a list").push(line);
+                    self.config["known"]["endpoints"].as_array_mut().expect("a list").push(entry);
                 }
             }
             ["set", pointer, value] => {
-                let value = serde_json::from_str(&self.fill(value)).expect(value);
+                let value = serde_json::from_str(&self.fill_addresses(value)).expect(value);
                 *self.config.pointer_mut(pointer).expect(pointer) = value;
             }
             ["file", name] => {
-                fs::write(self.dir.join(name), self.fill(&text.replace("\r\n", "\n"))).expect("written")
+                fs::write(self.dir.join(name), self.fill_addresses(&text.replace("\r\n", "\n")))
+                    .expect("written")
             }
             ["start"] => self.start(),
             ["refuses", ref message @ ..] => {
@@ -217,14 +249,14 @@
                     .env("BALANCER_OGC", self.dir.join("ogc.yaml"))
                     .env("BALANCER_LISTEN", "127.0.0.1:0");
                 let output = command.output().expect("runs");
-                let said =
+                let stderr =
                     String::from_utf8_lossy(&output.stderr).replace(&format!("{}/", self.dir.display()), "");
-                assert!(!output.status.success() && said.contains(&message.join(" ")), "{said}");
+                assert!(!output.status.success() && stderr.contains(&message.join(" ")), "{stderr}");
             }
             ["log", ref words @ ..] => {
                 let words = words.join(" ");
                 let log = self.log.as_ref().expect("runs");
-                while !log.recv_timeout(HANGS).expect(&words).contains(&words) {}
+                while !log.recv_timeout(EVENT_TIMEOUT).expect(&words).contains(&words) {}
             }
             [signal @ ("TERM" | "HUP")] => {
                 fs::write(self.dir.join("config.json"), self.config.to_string()).expect("written");
@@ -237,29 +269,29 @@
             }
             ["crowd", count] => {
                 for index in 0..count.parse::<u32>().expect(count) {
-                    self.link(&format!("c{}", 1000 + index));
+                    self.connection(&format!("c{}", 1000 + index));
                 }
             }
             [actor, "serves", count] => {
                 for _ in 0..count.parse::<u32>().expect(count) {
-                    let frame = self.frame(actor);
+                    let frame = self.read_frame(actor);
                     let id = frame[1..].split(' ').next().expect("an id").to_owned();
                     let shard = id.rsplit('.').next().expect("a shard");
                     self.send(actor, &format!("a{id} served 1 -\nv{shard}"));
                 }
             }
             [actor, "chunk"] => {
-                let line = self.fill(text) + "\n";
+                let line = self.fill_addresses(text) + "\n";
                 self.send(actor, &format!("{:x}\r\n{line}\r\n", line.len()));
             }
-            [actor, "close"] => drop(self.links.remove(actor)),
+            [actor, "close"] => drop(self.connections.remove(actor)),
             [actor, "ends"] => {
-                let before = self.link(actor).1.len();
-                assert_eq!(self.read(actor), before, "{actor}: more came");
+                let before = self.connection(actor).unmatched.len();
+                assert_eq!(self.read(actor), before, "{actor}: unexpected data");
             }
             [actor, "floods"] => {
-                let stream = &mut self.link(actor).0;
-                stream.set_write_timeout(Some(HANGS)).expect("set");
+                let stream = &mut self.connection(actor).stream;
+                stream.set_write_timeout(Some(EVENT_TIMEOUT)).expect("set");
                 let error = (0..60_000).find_map(|_| stream.write_all(&[b'x'; 1000]).err()).expect("refused");
                 assert!(
                     matches!(error.kind(), ErrorKind::ConnectionReset | ErrorKind::BrokenPipe),
@@ -267,27 +299,29 @@
                 );
             }
             [actor, "raw"] => {
-                let bytes = self.fill(text).into_bytes();
-                self.link(actor).0.write_all(&bytes).expect("written");
+                let bytes = self.fill_addresses(text).into_bytes();
+                self.connection(actor).stream.write_all(&bytes).expect("written");
             }
-            [actor, ">"] => self.send(actor, &self.fill(text)),
-            [actor, "<"] => self.expect(actor, &self.fill(text)),
-            _ => panic!("unknown line {words:?}"),
+            [actor, ">"] => self.send(actor, &self.fill_addresses(text)),
+            [actor, "<"] => self.expect(actor, &self.fill_addresses(text)),
+            _ => panic!("unknown script line {words:?}"),
         }
     }
 }
 
-/// How much of a text a pattern takes up: `*` stands for anything that is not longer than it must be.
-fn matched(text: &str, pattern: &str) -> Option<usize> {
+/// Returns the length of the prefix of `text` that matches `pattern`, in which `*` stands for the shortest
+/// possible text, or `None` if it does not match.
+fn matching_prefix_len(text: &str, pattern: &str) -> Option<usize> {
     let mut pieces = pattern.split('*');
     let mut at = pieces.next().filter(|first| text.starts_with(first))?.len();
     for piece in pieces {
         at += text[at..].find(piece)? + piece.len();
     }
-    // A last `*` takes what there is.
+    // A trailing `*` matches the rest.
     Some(if pattern.ends_with('*') { text.len() } else { at })
 }
 
+/// Replaces the escapes `\r`, `\n` and `\0`.
 fn unescape(text: &str) -> String {
     [("\\r", "\r"), ("\\n", "\n"), ("\\0", "\0")]
         .iter()
@@ -303,7 +337,8 @@
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
-        // What follows a mark on its line is text with escapes; without any, the indented lines below are.
+        // After one of these marks the rest of the line is the text, with escapes. Otherwise the indented
+        // lines that follow are the text.
         let (words, text) = match [" < ", " > ", " raw ", " chunk "]
             .iter()
             .find_map(|mark| Some((*mark, line.split_once(mark)?)))
@@ -314,7 +349,7 @@
                 while let Some(line) = lines.next_if(|line| line.starts_with("  ")) {
                     block.push(&line[2..]);
                 }
-                // A block that ends in an empty line is a head, whole.
+                // A block that ends in an empty line is a complete head.
                 let end = if block.last() == Some(&"") { "\r\n" } else { "" };
                 (line.split(' ').collect(), block.join("\r\n") + end)
             }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,11 +1,12 @@
-//! What `.ci/verdict` says of a run of all tests: each of its rules is shown to pass and to fail.
+//! Tests of `.ci/verdict`, which evaluates a run of all tests: each of its rules passes and fails where it
+//! should.
 
 use std::fs;
 use std::path::PathBuf;
 use std::process::Command;
 
-/// A run with one target that passes and one in which a test fails.
-const RUN: &str = "
+/// Output of a run with a target that passes and one with a failing test.
+const RUN_OUTPUT: &str = "
      Running unittests src/lib.rs (target/debug/deps/badgergauge-1f2e3d4c5b6a7988)
 test tests::sound ... ok
 test result: ok. 1 passed; 0 failed; 0 ignored
@@ -20,65 +21,73 @@
     `-p badgergauge --test crossings`
 ";
 
-/// What an entry says behind its test: command and seed, what was seen, and the issue.
-const REST: &str = "cargo test --test crossings lists::late, no seed | 3 of 5 runs late | 32";
+/// The fields of a list entry after the test: command and seed, observation, issue number.
+const ENTRY_FIELDS: &str = "cargo test --test crossings lists::late, no seed | 3 of 5 runs late | 32";
 
-/// A line of the list.
+/// Returns an entry of the list of known failures.
 fn entry(test: &str) -> String {
-    format!("{test} | {REST}\n")
+    format!("{test} | {ENTRY_FIELDS}\n")
 }
 
-/// Whether the verdict passes, and what it prints.
+/// Runs `.ci/verdict` on a list of known failures, the log of a run and its exit status. Returns whether it
+/// passes, and its output. `name` makes the temporary directory unique.
 fn verdict(name: &str, known: Option<&str>, log: &str, status: u32) -> (bool, String) {
     let dir: PathBuf = std::env::temp_dir().join(format!("badgergauge-red-{}-{name}", std::process::id()));
-    fs::create_dir_all(&dir).expect("a folder");
-    let [list, run] = ["known", "log"].map(|file| dir.join(file));
+    fs::create_dir_all(&dir).expect("temporary directory created");
+    let [known_file, log_file] = ["known", "log"].map(|file| dir.join(file));
     if let Some(known) = known {
-        fs::write(&list, known).expect("written");
+        fs::write(&known_file, known).expect("written");
     }
-    fs::write(&run, log).expect("written");
+    fs::write(&log_file, log).expect("written");
     let verdict = concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/verdict");
-    let output = Command::new(verdict).args([&list, &run]).arg(status.to_string()).output().expect("it runs");
+    let output = Command::new(verdict)
+        .args([&known_file, &log_file])
+        .arg(status.to_string())
+        .output()
+        .expect("verdict runs");
     let _ = fs::remove_dir_all(&dir);
-    let said =
+    let printed =
         String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
-    (output.status.success(), said)
+    (output.status.success(), printed)
 }
 
 #[test]
 fn only_listed_tests_may_fail_and_they_are_named() {
     let listed = entry("crossings lists::late");
-    let (passes, said) = verdict("listed", Some(&listed), RUN, 101);
-    assert!(passes && said.contains(&format!("crossings lists::late: FAILED | {REST}")), "{said}");
-    let (passes, said) = verdict("unlisted", None, RUN, 101);
-    assert!(!passes && said.contains("fails: crossings lists::late"), "{said}");
-    let (passes, said) = verdict("other", Some(&entry("crossings lists::sound")), RUN, 101);
-    assert!(!passes && said.contains("fails: crossings lists::late"), "{said}");
-    // The same name in another target is another test.
-    let (passes, said) = verdict("target", Some(&entry("badgergauge lists::late")), RUN, 101);
-    assert!(!passes && said.contains("is no test: badgergauge lists::late"), "{said}");
+    let (passes, printed) = verdict("listed", Some(&listed), RUN_OUTPUT, 101);
+    assert!(
+        passes && printed.contains(&format!("crossings lists::late: FAILED | {ENTRY_FIELDS}")),
+        "{printed}"
+    );
+    let (passes, printed) = verdict("unlisted", None, RUN_OUTPUT, 101);
+    assert!(!passes && printed.contains("fails: crossings lists::late"), "{printed}");
+    let (passes, printed) = verdict("other", Some(&entry("crossings lists::sound")), RUN_OUTPUT, 101);
+    assert!(!passes && printed.contains("fails: crossings lists::late"), "{printed}");
+    // A test of the same name in another target does not count.
+    let (passes, printed) = verdict("target", Some(&entry("badgergauge lists::late")), RUN_OUTPUT, 101);
+    assert!(!passes && printed.contains("is no test: badgergauge lists::late"), "{printed}");
 }
 
 #[test]
 fn a_run_without_failures_passes_and_a_listed_test_may_pass() {
-    let green = RUN.replace("FAILED.", "ok.").replace("FAILED", "ok");
+    let green = RUN_OUTPUT.replace("FAILED.", "ok.").replace("FAILED", "ok");
     let green = &green[..green.find("error:").expect("the last lines")];
     assert!(verdict("green", None, green, 0).0);
-    let (passes, said) = verdict("green-listed", Some(&entry("crossings lists::late")), green, 0);
-    assert!(passes && said.contains("crossings lists::late: ok"), "{said}");
+    let (passes, printed) = verdict("green-listed", Some(&entry("crossings lists::late")), green, 0);
+    assert!(passes && printed.contains("crossings lists::late: ok"), "{printed}");
 }
 
 #[test]
-fn the_list_itself_is_held_to_its_rules() {
-    let (passes, said) = verdict("no-test", Some(&entry("crossings lists::gone")), RUN, 101);
-    assert!(!passes && said.contains("is no test: crossings lists::gone"), "{said}");
-    // As many entries as there are known faults, with blank lines between them, each test once.
+fn the_list_is_validated() {
+    let (passes, printed) = verdict("no-test", Some(&entry("crossings lists::gone")), RUN_OUTPUT, 101);
+    assert!(!passes && printed.contains("is no test: crossings lists::gone"), "{printed}");
+    // Any number of entries, with blank lines between them, but each test only once.
     let tests = ["crossings lists::late", "crossings lists::sound", "badgergauge tests::sound"];
     let several = tests.map(entry).join("\n");
-    assert!(verdict("several", Some(&several), RUN, 101).0);
-    let (passes, said) = verdict("twice", Some(&(several + &entry(tests[0]))), RUN, 101);
-    assert!(!passes && said.contains("lists a test twice"), "{said}");
-    for odd in [
+    assert!(verdict("several", Some(&several), RUN_OUTPUT, 101).0);
+    let (passes, printed) = verdict("twice", Some(&(several + &entry(tests[0]))), RUN_OUTPUT, 101);
+    assert!(!passes && printed.contains("lists a test twice"), "{printed}");
+    for malformed in [
         "crossings lists::late\n".to_owned(),
         "crossings lists::late | the cause | 32\n".to_owned(),
         entry("lists::late"),
@@ -88,43 +97,43 @@
         "a b | no seed | seen |\n".to_owned(),
         "a b | no seed | seen | 32 | more\n".to_owned(),
     ] {
-        let (passes, said) = verdict("odd", Some(&odd), RUN, 101);
-        assert!(!passes && said.contains("is not `TARGET TEST"), "{odd}: {said}");
+        let (passes, printed) = verdict("odd", Some(&malformed), RUN_OUTPUT, 101);
+        assert!(!passes && printed.contains("is not `TARGET TEST"), "{malformed}: {printed}");
     }
 }
 
 #[test]
-fn an_entry_names_its_seed_and_its_issue() {
+fn an_entry_must_name_a_seed_and_an_issue() {
     let with = |command: &str, issue: &str| format!("crossings lists::late | {command} | late | {issue}\n");
     for command in
         ["fleet soak --seed 7", "drawn on seeds 3 and 5", "seed=3 cargo test", "cargo test, no seed"]
     {
-        let (passes, said) = verdict("seed", Some(&with(command, "40")), RUN, 101);
-        assert!(passes, "{command}: {said}");
+        let (passes, printed) = verdict("seed", Some(&with(command, "40")), RUN_OUTPUT, 101);
+        assert!(passes, "{command}: {printed}");
     }
-    let (passes, said) = verdict("no-seed", Some(&with("cargo test", "40")), RUN, 101);
-    assert!(!passes && said.contains("names no seed"), "{said}");
+    let (passes, printed) = verdict("no-seed", Some(&with("cargo test", "40")), RUN_OUTPUT, 101);
+    assert!(!passes && printed.contains("names no seed"), "{printed}");
     for issue in ["the roadmap", "40b"] {
-        let (passes, said) = verdict("no-issue", Some(&with("no seed", issue)), RUN, 101);
-        assert!(!passes && said.contains("names no issue"), "{issue}: {said}");
+        let (passes, printed) = verdict("no-issue", Some(&with("no seed", issue)), RUN_OUTPUT, 101);
+        assert!(!passes && printed.contains("names no issue"), "{issue}: {printed}");
     }
 }
 
 #[test]
-fn what_gives_no_result_fails_whatever_is_listed() {
-    // A target that crashes behind one whose listed test fails.
-    let crashed = RUN.replace(
+fn a_target_without_a_result_fails_whatever_is_listed() {
+    // A target crashes after another one whose listed test fails.
+    let crashed = RUN_OUTPUT.replace(
         "   Doc-tests",
         "     Running tests/fleet.rs (target/debug/deps/fleet-0123456789abcdef)\ntest a ... ok\n   Doc-tests",
     );
-    let (passes, said) = verdict("crashed", Some(&entry("crossings lists::late")), &crashed, 101);
-    assert!(!passes && said.contains("1 targets gave no result"), "{said}");
-    let (passes, said) =
+    let (passes, printed) = verdict("crashed", Some(&entry("crossings lists::late")), &crashed, 101);
+    assert!(!passes && printed.contains("1 targets gave no result"), "{printed}");
+    let (passes, printed) =
         verdict("unbuilt", Some(&entry("crossings lists::late")), "error: could not compile\n", 101);
-    assert!(!passes && said.contains("no test was run"), "{said}");
+    assert!(!passes && printed.contains("no test was run"), "{printed}");
     let green =
         "     Running a (target/debug/deps/a-0123456789abcdef)\ntest t ... ok\ntest result: ok. 1 passed\n";
     assert!(verdict("ended", None, green, 0).0);
-    let (passes, said) = verdict("ended-badly", None, green, 101);
-    assert!(!passes && said.contains("cargo ended with 101"), "{said}");
+    let (passes, printed) = verdict("ended-badly", None, green, 101);
+    assert!(!passes && printed.contains("cargo ended with 101"), "{printed}");
 }
