--- a/benches/closed_loop/main.rs
+++ b/benches/closed_loop/main.rs
@@ -5,8 +5,8 @@
 //! `cargo bench --bench closed_loop` (Linux). Environment variables:
 //!
 //! - `BENCH_PROGRAM`: the broker program; by default that of this build.
-//! - `BENCH_AGAINST`: a second program to compare with, for example of another commit. Both run in turn, and ratios
-//!   are computed for each pair of runs.
+//! - `BENCH_AGAINST`: a second program to compare with, for example of another commit. Both run in turn, and
+//!   ratios are computed for each pair of runs.
 //! - `BENCH_ROUNDS`: the number of rounds, by default 3.
 //! - `BENCH_SEED`: the random seed of the queries, by default 1.
 //!
@@ -127,14 +127,14 @@
 
 fn print_run(round: usize, which: &str, run: &RunResult) {
     println!(
-        "round {round}, {which}: {:.1} us CPU per query, median {:.2} ms, 99th percentile {:.2} ms, {} failed",
+        "round {round}, {which}: {:.1} us CPU per query, median {:.2} ms, p99 {:.2} ms, {} failed",
         run.cpu_micros, run.median_ms, run.p99_ms, run.failed
     );
 }
 
 fn print_medians<'a>(which: &str, runs: impl Iterator<Item = &'a RunResult> + Clone) {
     println!(
-        "{which}: {:.1} us CPU per query, median {:.2} ms, 99th percentile {:.2} ms (medians), {} failed",
+        "{which}: {:.1} us CPU per query, median {:.2} ms, p99 {:.2} ms (medians), {} failed",
         support::median(runs.clone().map(|run| run.cpu_micros)),
         support::median(runs.clone().map(|run| run.median_ms)),
         support::median(runs.clone().map(|run| run.p99_ms)),
@@ -150,7 +150,7 @@
         format!("{:.3} ({min:.3} to {max:.3})", support::median(ratios))
     };
     println!(
-        "ratios, median of {} pairs: CPU {}, median latency {}, 99th percentile {}",
+        "ratios, median of {} pairs: CPU {}, median latency {}, p99 {}",
         pairs.len(),
         ratio(|run| run.cpu_micros),
         ratio(|run| run.median_ms),
--- a/benches/support/mod.rs
+++ b/benches/support/mod.rs
@@ -30,6 +30,7 @@
         Ok(TempDir(path))
     }
 
+    /// Returns the path of the directory.
     pub fn path(&self) -> &Path {
         &self.0
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,6 +9,7 @@
     Duration::from_millis(n)
 }
 
+/// Returns a class whose answers must be complete and are worth nothing after the aim.
 pub fn class() -> Class {
     Class {
         aim: ms(1000),
@@ -23,6 +24,7 @@
     }
 }
 
+/// Returns settings for two front nodes, one class, four shards and one cell.
 pub fn settings() -> Settings {
     Settings {
         front_nodes: 2,
@@ -53,6 +55,7 @@
     }
 }
 
+/// Returns the entry of a server that is up, in zone 0 and cell 0, with no start time.
 pub fn up(server: u64) -> ServerEntry {
     ServerEntry {
         server: ServerId(server),
@@ -67,20 +70,24 @@
 /// A test bench: a router and its simulated clock.
 pub struct Bench {
     pub router: Router,
+    /// The simulated time, which only the tests advance.
     pub now: Time,
-    next: u64,
+    next_id: u64,
+    /// Deadline of each class, relative to a query's submission.
     deadlines: Vec<Duration>,
 }
 
 impl Bench {
+    /// Creates a router and gives it a full server list.
     pub fn new(settings: Settings, servers: Vec<ServerEntry>) -> Self {
         let deadlines = settings.classes.iter().map(|class| class.deadline).collect();
         let router = Router::new(settings, 7).expect("valid settings");
-        let mut bench = Bench { router, now: Time(1_000_000_000), next: 1, deadlines };
+        let mut bench = Bench { router, now: Time(1_000_000_000), next_id: 1, deadlines };
         bench.step(&[Event::Servers(servers)]);
         bench
     }
 
+    /// Runs one step of the router at the current time and returns its actions.
     pub fn step(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.step(self.now, events, &mut actions);
@@ -107,8 +114,8 @@
         shards: &[u32],
         weights: &[f64],
     ) -> (u64, Vec<Action>) {
-        let id = self.next;
-        self.next += 1 + shards.len() as u64;
+        let id = self.next_id;
+        self.next_id += 1 + shards.len() as u64;
         let mut events = vec![Event::Query(Query {
             id: QueryId(id),
             number: QueryNumber(id),
@@ -133,17 +140,18 @@
 
     /// Submits a one-part query of class 0 with `left_ms` milliseconds left until its deadline.
     pub fn query_with_time_left(&mut self, left_ms: u64) -> (u64, Vec<Action>) {
-        self.one_part(left_ms, false)
+        self.one_part_query(left_ms, false)
     }
 
     /// Like [`Bench::query_with_time_left`], marked as a retry.
     pub fn retry_with_time_left(&mut self, left_ms: u64) -> (u64, Vec<Action>) {
-        self.one_part(left_ms, true)
+        self.one_part_query(left_ms, true)
     }
 
-    fn one_part(&mut self, left_ms: u64, is_retry: bool) -> (u64, Vec<Action>) {
-        let id = self.next;
-        self.next += 2;
+    /// Submits a query of class 0 with a single part for shard 0.
+    fn one_part_query(&mut self, left_ms: u64, is_retry: bool) -> (u64, Vec<Action>) {
+        let id = self.next_id;
+        self.next_id += 2;
         let (number, time_left) = (QueryNumber(id), ms(left_ms));
         let (class, tenant, key) = (0, 0, None);
         let query = Query { id: QueryId(id), number, class, tenant, key, is_retry, time_left };
@@ -163,6 +171,7 @@
     }
 }
 
+/// Returns the outcome event of an attempt, without a load report.
 pub fn outcome(part: u64, attempt: u32, verdict: Verdict, took: Duration) -> Event {
     Event::Outcome { part: PartId(part), attempt, verdict, took, load: LoadReport::default() }
 }
@@ -180,8 +189,9 @@
 
 /// Counts the queries that end: answered, refused or failed.
 pub fn count_ended_queries(actions: &[Action]) -> usize {
-    let end = |a: &&Action| matches!(a, Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. });
-    actions.iter().filter(end).count()
+    let ends_query =
+        |a: &&Action| matches!(a, Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. });
+    actions.iter().filter(ends_query).count()
 }
 
 /// Returns whether the query is answered with the given completeness mark.
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Offset between the clock readings of the two processes: the successor's clock is ahead by this much.
+/// How far the successor's clock reading is ahead of the predecessor's.
 const CLOCK_OFFSET: Duration = Duration::from_secs(400);
 const STREAM_SEED: u64 = 11;
 
