--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -184,8 +184,8 @@
         self.stand_ins.contains_key(kind) && !DISCOVERY_ACTORS.contains(&kind)
     }
 
-    /// Reads until the unmatched input starts with a match of the pattern, and consumes it. Where the actor uses
-    /// frames, the next frame must match completely.
+    /// Reads until the unmatched input starts with a match of the pattern, and consumes it. Where the actor
+    /// uses frames, the next frame must match completely.
     fn expect(&mut self, actor: &str, pattern: &str) {
         if self.uses_frames(actor) {
             let frame = self.read_frame(actor);
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -178,8 +178,8 @@
 }
 
 /// The network between one front node and many servers failed most attempts, which used up the retry budget.
-/// Queries with a part that could not be sent again then waited until their aim, and the refusal came too late
-/// for a useful retry by the client.
+/// Queries with a part that could not be sent again then waited until their aim, and the refusal came too
+/// late for a useful retry by the client.
 #[test]
 fn a_query_with_a_failed_part_beyond_the_retry_budget_is_refused_at_once() {
     let budget = Some(Budget { window: ms(5000), free: 1.0, share: 0.0 });
