--- a/crates/fleet/src/proxy.rs
+++ b/crates/fleet/src/proxy.rs
@@ -1,5 +1,5 @@
-//! The fault proxy: every link between two processes can pass through it, TCP and UDP, and is delayed, lost, cut,
-//! reset, slowed or taken away as told. One thread, one poller. What is drawn is drawn from its seed.
+//! The fault proxy: forwards TCP connections and UDP datagrams between processes, and delays, drops, cuts, resets or
+//! throttles them per link on command. It runs on one thread with one poller; its random choices come from a seed.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -16,42 +16,42 @@
 
 use crate::port::{HeldPort, stop_listening};
 
-/// What a direction of a connection holds before no more is read from its sender.
-const HELD: usize = 64 * 1024;
-/// Connections that may wait to be accepted.
+/// Bytes buffered for one direction of a connection above which no more is read from its sender.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+/// Backlog of a listener whose link is not cut.
 const BACKLOG: i32 = 1024;
-/// Connections of the proxy's own that fill the queue of a listener whose backlog is none: a further one never
-/// comes up, as with a machine that is gone.
-const FILLS: usize = 2;
-/// Longest datagram that is passed on.
-const DATAGRAM: usize = 2048;
+/// Number of connections that the proxy opens to its own listener to fill the accept queue at a backlog of 0. Further
+/// connection attempts then time out, as with an unreachable machine.
+const QUEUE_FILLERS: usize = 2;
+/// Longest datagram that is forwarded, in bytes; longer ones are truncated.
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// A link, by its number.
+/// Index of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Link(pub usize);
 
-/// What a link does to what passes.
+/// How a link treats its traffic. `fleet check` prints the `Debug` output.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rule {
-    /// Everything comes so much later.
+    /// Delay of everything that is forwarded.
     pub delay: Duration,
-    /// And up to so much more, drawn for each piece; the order is kept on a connection.
+    /// Upper bound of a random additional delay, drawn for each chunk or datagram. Connections keep their order.
     pub jitter: Duration,
-    /// Share of the datagrams that are lost.
+    /// Share of the datagrams that are dropped.
     pub loss: f64,
-    /// Share of the pieces, either way, at which the connection is reset: the request that went, or whose answer
-    /// came, is lost with it.
+    /// Share of the chunks, in either direction, on which the connection is reset. The chunk is lost with it.
     pub reset: f64,
-    /// Bytes a second that are taken from each side; no bound where none.
+    /// Bytes per second read from each side; unlimited if none.
     pub rate: Option<u64>,
-    /// Nothing passes from the one who connected to the other; what it sends waits, as in a network that is cut.
+    /// Whether nothing is forwarded from the side that connected to the other. Bytes sent meanwhile stay queued, as in a
+    /// partitioned network.
     pub cut_there: bool,
-    /// Nothing passes back.
+    /// Whether nothing is forwarded back to the side that connected.
     pub cut_back: bool,
 }
 
 impl Rule {
-    /// A link that is cut both ways: connections stay open and silent, new ones never come up.
+    /// Cuts both directions: connections stay open without traffic, and new ones time out.
     pub fn cut() -> Self {
         Rule { cut_there: true, cut_back: true, ..Rule::default() }
     }
@@ -61,24 +61,24 @@
     }
 }
 
-/// What the proxy is told.
+/// A command to the running proxy.
 #[derive(Clone, Debug)]
-pub enum Tell {
-    /// These links do so from now on.
-    Set(Vec<Link>, Rule),
-    /// The process that these links lead to has ended: connections are reset, new ones refused.
+pub enum ProxyCommand {
+    /// Sets the rule of links.
+    SetRule(Vec<Link>, Rule),
+    /// Takes links down, as if the process behind them had ended: resets their connections and refuses new ones.
     Down(Vec<Link>),
-    /// It is there again.
+    /// Brings links up again.
     Up(Vec<Link>),
-    /// These links' connections are reset, and nothing else changes.
+    /// Resets the connections of links, and changes nothing else.
     Reset(Vec<Link>),
-    /// Connections that are opened on these links lead here from now on.
-    Lead(Vec<Link>, SocketAddr),
-    /// It ends.
-    End,
+    /// Sets the target address of new connections on links.
+    SetTarget(Vec<Link>, SocketAddr),
+    /// Ends the proxy's thread.
+    Shutdown,
 }
 
-/// What is to be linked, before the proxy runs.
+/// Collects the links of a proxy before it starts.
 pub struct Builder {
     rng: ChaCha8Rng,
     routes: Vec<Route>,
@@ -90,50 +90,51 @@
         listener: Option<TcpListener>,
         to: SocketAddr,
     },
-    /// Datagrams that come here go on from the socket of the link back, to where its receiver hears.
+    /// Datagrams received on the socket are sent to `to` from the socket of the `reverse` link, which is the address
+    /// that the receiver knows the sender by.
     Udp {
         socket: UdpSocket,
-        back: usize,
+        reverse: usize,
         to: SocketAddr,
     },
 }
 
-/// A listener at an address that a holder keeps bound meanwhile, so that nobody else gets its port while none
+/// Opens a listener at an address that a [`HeldPort`] keeps bound, so that no other process gets the port while nothing
 /// listens there.
-fn listen(at: SocketAddr) -> io::Result<TcpListener> {
+fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_port(true)?;
     socket.set_nonblocking(true)?;
-    socket.bind(&at.into())?;
+    socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
 
 impl Builder {
-    /// No links yet.
+    /// A builder without links. The proxy draws its random choices from `seed`.
     pub fn new(seed: u64) -> Self {
         Builder { rng: ChaCha8Rng::seed_from_u64(seed), routes: Vec::new() }
     }
 
-    /// A link for connections to an address. Gives it, and where to connect.
+    /// Adds a link for connections to an address. Returns the link and the proxy's address for it.
     ///
     /// # Errors
     ///
-    /// When loopback has no port left.
+    /// When no loopback port is free.
     pub fn tcp(&mut self, to: SocketAddr) -> io::Result<(Link, SocketAddr)> {
         let port = HeldPort::new()?;
-        let at = port.address();
-        let listener = Some(listen(at)?);
+        let address = port.address();
+        let listener = Some(listen(address)?);
         self.routes.push(Route::Tcp { port, listener, to });
-        Ok((Link(self.routes.len() - 1), at))
+        Ok((Link(self.routes.len() - 1), address))
     }
 
-    /// Two links for datagrams between two who hear at these addresses. Gives the link from the first to the
-    /// second with the address that the first sends to, and the link back with the second's.
+    /// Adds two links for datagrams between two receivers, one per direction. Returns the link from the first to the
+    /// second with the address that the first sends to, then the reverse link with the address that the second sends to.
     ///
     /// # Errors
     ///
-    /// When loopback has no port left.
+    /// When no loopback port is free.
     pub fn udp(&mut self, one: SocketAddr, other: SocketAddr) -> io::Result<[(Link, SocketAddr); 2]> {
         let first = self.routes.len();
         let mut ends = [(Link(first), one), (Link(first + 1), other)];
@@ -141,18 +142,18 @@
             let socket = UdpSocket::bind("127.0.0.1:0")?;
             socket.set_nonblocking(true)?;
             ends[n].1 = socket.local_addr()?;
-            self.routes.push(Route::Udp { socket, back: first + 1 - n, to });
+            self.routes.push(Route::Udp { socket, reverse: first + 1 - n, to });
         }
         Ok(ends)
     }
 
-    /// Starts it.
+    /// Starts the proxy's thread.
     ///
     /// # Errors
     ///
-    /// When the system has no descriptors left.
+    /// When the poller or the thread can't be created, or a socket can't be registered.
     pub fn start(self) -> io::Result<Proxy> {
-        let (tell, told) = mpsc::channel();
+        let (sender, commands) = mpsc::channel();
         let poll = Poll::new()?;
         for (key, route) in self.routes.iter().enumerate() {
             match route {
@@ -163,45 +164,45 @@
         }
         let waker = poll.waker();
         let rules = vec![Rule::default(); self.routes.len()];
-        let fills = self.routes.iter().map(|_| Vec::new()).collect();
+        let queue_fillers = self.routes.iter().map(|_| Vec::new()).collect();
         let running = Running {
             start: Instant::now(),
-            next: self.routes.len(),
+            next_key: self.routes.len(),
             rng: self.rng,
             routes: self.routes,
             rules,
-            fills,
-            told,
+            queue_fillers,
+            commands,
             poll,
-            pairs: HashMap::new(),
-            sides: HashMap::new(),
-            due: BinaryHeap::new(),
-            late: HashMap::new(),
+            connections: HashMap::new(),
+            stream_connections: HashMap::new(),
+            timers: BinaryHeap::new(),
+            delayed: HashMap::new(),
         };
         let thread = thread::Builder::new().name("proxy".into()).spawn(move || running.run())?;
-        Ok(Proxy { tell, waker, thread: Some(thread) })
+        Ok(Proxy { sender, waker, thread: Some(thread) })
     }
 }
 
-/// The running proxy.
+/// A running proxy. Dropping it stops its thread and closes its connections.
 pub struct Proxy {
-    tell: Sender<Tell>,
+    sender: Sender<ProxyCommand>,
     waker: Waker,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Proxy {
-    /// Tells it something; it takes hold at once.
-    pub fn tell(&self, what: Tell) {
-        // It ends only with `drop`, after which nobody tells it anything.
-        let _ = self.tell.send(what);
+    /// Sends the proxy a command, which its thread carries out shortly after.
+    pub fn send(&self, command: ProxyCommand) {
+        // The thread normally ends only with `drop`, after which no command is sent.
+        let _ = self.sender.send(command);
         self.waker.wake();
     }
 }
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.tell(Tell::End);
+        self.send(ProxyCommand::Shutdown);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -211,124 +212,142 @@
 /// One direction of a connection.
 #[derive(Default)]
 struct Flow {
-    pieces: VecDeque<(Duration, Vec<u8>)>,
-    held: usize,
-    /// The last piece's time: none overtakes another.
-    last: Duration,
-    /// Nothing is read before that.
+    /// Buffered chunks, each with the time at which it is due.
+    chunks: VecDeque<(Duration, Vec<u8>)>,
+    buffered_bytes: usize,
+    /// Due time of the last chunk; a later chunk is not due before it, so that the order is kept.
+    last_due: Duration,
+    /// Nothing is read before this time, to keep to the link's rate.
     read_at: Duration,
-    /// Its sender has ended it, and its receiver was told.
+    /// Whether the sender has shut down its side.
     ended: bool,
-    passed_end: bool,
+    /// Whether the shutdown was forwarded to the receiver.
+    end_forwarded: bool,
 }
 
-struct Pair {
+/// A forwarded connection: the client's, and the proxy's own to the target.
+struct Connection {
     link: usize,
-    /// The one who connected, and the other; their keys.
+    /// The client's stream, and the one to the target.
     streams: [TcpStream; 2],
+    /// The streams' poll keys.
     keys: [usize; 2],
-    /// From the one who connected to the other, and back.
+    /// From the client to the target, and back.
     flows: [Flow; 2],
 }
 
 struct Running {
     start: Instant,
-    /// The next key.
-    next: usize,
+    /// The next unused key for streams and delayed datagrams; links use their indices as keys.
+    next_key: usize,
     rng: ChaCha8Rng,
     routes: Vec<Route>,
     rules: Vec<Rule>,
-    /// Connections that fill listeners' queues.
-    fills: Vec<Vec<TcpStream>>,
-    told: Receiver<Tell>,
+    /// Connections that fill the accept queues of cut links, by link.
+    queue_fillers: Vec<Vec<TcpStream>>,
+    commands: Receiver<ProxyCommand>,
     poll: Poll,
-    /// Connections by the key of the one who connected.
-    pairs: HashMap<usize, Pair>,
-    /// Which pair a key belongs to.
-    sides: HashMap<usize, usize>,
-    /// When which pair, or which late datagram, is to be looked at.
-    due: BinaryHeap<Reverse<(Duration, usize)>>,
-    /// Datagrams that are late: link and bytes.
-    late: HashMap<usize, (usize, Vec<u8>)>,
+    /// Connections by the key of the client's stream.
+    connections: HashMap<usize, Connection>,
+    /// The connection's key by each stream's key.
+    stream_connections: HashMap<usize, usize>,
+    /// Timers: due time, and the key of a connection or of a delayed datagram.
+    timers: BinaryHeap<Reverse<(Duration, usize)>>,
+    /// Delayed datagrams by key: link and bytes.
+    delayed: HashMap<usize, (usize, Vec<u8>)>,
 }
 
 impl Running {
     fn run(mut self) {
         let mut ready: Vec<Ready> = Vec::new();
         loop {
-            let pause = self.due.peek().map(|Reverse((at, _))| at.saturating_sub(self.start.elapsed()));
-            if self.poll.wait(pause, &mut ready).is_err() {
+            let timeout = self.timers.peek().map(|Reverse((at, _))| at.saturating_sub(self.start.elapsed()));
+            if self.poll.wait(timeout, &mut ready).is_err() {
                 return;
             }
-            while let Ok(tell) = self.told.try_recv() {
-                match tell {
-                    Tell::End => return,
-                    Tell::Set(links, rule) => links.into_iter().for_each(|link| self.set(link.0, rule)),
-                    Tell::Down(links) => links.into_iter().for_each(|link| self.down(link.0)),
-                    Tell::Up(links) => links.into_iter().for_each(|link| self.up(link.0)),
-                    Tell::Reset(links) => links.into_iter().for_each(|link| self.reset_all(link.0)),
-                    Tell::Lead(links, address) => links.into_iter().for_each(|link| {
+            while let Ok(command) = self.commands.try_recv() {
+                match command {
+                    ProxyCommand::Shutdown => return,
+                    ProxyCommand::SetRule(links, rule) => {
+                        links.into_iter().for_each(|link| self.set_rule(link.0, rule))
+                    }
+                    ProxyCommand::Down(links) => links.into_iter().for_each(|link| self.take_down(link.0)),
+                    ProxyCommand::Up(links) => links.into_iter().for_each(|link| self.bring_up(link.0)),
+                    ProxyCommand::Reset(links) => {
+                        links.into_iter().for_each(|link| self.reset_connections(link.0))
+                    }
+                    ProxyCommand::SetTarget(links, address) => links.into_iter().for_each(|link| {
                         if let Some(Route::Tcp { to, .. }) = self.routes.get_mut(link.0) {
                             *to = address;
                         }
                     }),
                 }
             }
-            for report in std::mem::take(&mut ready) {
-                if report.key < self.routes.len() {
-                    self.arrives(report.key);
-                } else if let Some(pair) = self.sides.get(&report.key).copied() {
-                    self.pump(pair);
+            for event in std::mem::take(&mut ready) {
+                if event.key < self.routes.len() {
+                    self.on_link_ready(event.key);
+                } else if let Some(connection) = self.stream_connections.get(&event.key).copied() {
+                    self.forward(connection);
                 }
             }
             let now = self.start.elapsed();
-            while let Some(Reverse((_, key))) = self.due.peek().copied().filter(|due| due.0.0 <= now) {
-                self.due.pop();
-                match self.late.remove(&key) {
-                    Some((link, bytes)) => self.pass_datagram(link, &bytes),
-                    None => self.pump(key),
+            while let Some(Reverse((_, key))) = self.timers.peek().copied().filter(|timer| timer.0.0 <= now) {
+                self.timers.pop();
+                match self.delayed.remove(&key) {
+                    Some((link, bytes)) => self.send_datagram(link, &bytes),
+                    None => self.forward(key),
                 }
             }
         }
     }
 
-    fn set(&mut self, link: usize, rule: Rule) {
+    fn set_rule(&mut self, link: usize, rule: Rule) {
         let was_cut = self.rules[link].is_cut();
         self.rules[link] = rule;
         if let Route::Tcp { listener: Some(listener), port, .. } = &self.routes[link] {
             if rule.is_cut() && !was_cut {
                 let _ = SockRef::from(listener).listen(0);
-                let fills = (0..FILLS).filter_map(|_| connect(port.address()).ok());
-                self.fills[link] = fills.collect();
+                let fillers = (0..QUEUE_FILLERS).filter_map(|_| connect(port.address()).ok());
+                self.queue_fillers[link] = fillers.collect();
             } else if was_cut && !rule.is_cut() {
                 let _ = SockRef::from(listener).listen(BACKLOG);
                 let _ = self.poll.rearm(listener, link, true, false);
             }
         }
-        let of: Vec<usize> = self.pairs.iter().filter(|(_, p)| p.link == link).map(|(key, _)| *key).collect();
-        of.into_iter().for_each(|key| self.pump(key));
+        let keys: Vec<usize> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.link == link)
+            .map(|(key, _)| *key)
+            .collect();
+        keys.into_iter().for_each(|key| self.forward(key));
         if was_cut && !rule.is_cut() {
-            self.arrives(link);
-            self.fills[link].clear();
+            self.on_link_ready(link);
+            self.queue_fillers[link].clear();
         }
     }
 
-    fn reset_all(&mut self, link: usize) {
-        let of: Vec<usize> = self.pairs.iter().filter(|(_, p)| p.link == link).map(|(key, _)| *key).collect();
-        of.into_iter().for_each(|key| self.drop_pair(key, true));
+    fn reset_connections(&mut self, link: usize) {
+        let keys: Vec<usize> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.link == link)
+            .map(|(key, _)| *key)
+            .collect();
+        keys.into_iter().for_each(|key| self.drop_connection(key, true));
     }
 
-    fn down(&mut self, link: usize) {
+    fn take_down(&mut self, link: usize) {
         if let Route::Tcp { listener, .. } = &mut self.routes[link]
             && let Some(listener) = listener.take()
         {
             self.poll.remove(&listener);
             stop_listening(listener);
         }
-        self.reset_all(link);
+        self.reset_connections(link);
     }
 
-    fn up(&mut self, link: usize) {
+    fn bring_up(&mut self, link: usize) {
         if let Route::Tcp { listener, port, .. } = &mut self.routes[link]
             && listener.is_none()
             && let Ok(new) = listen(port.address())
@@ -338,22 +357,22 @@
         }
     }
 
-    fn drop_pair(&mut self, key: usize, reset: bool) {
-        let Some(pair) = self.pairs.remove(&key) else { return };
-        for (stream, key) in pair.streams.iter().zip(pair.keys) {
+    fn drop_connection(&mut self, key: usize, reset: bool) {
+        let Some(connection) = self.connections.remove(&key) else { return };
+        for (stream, key) in connection.streams.iter().zip(connection.keys) {
             self.poll.remove(stream);
-            self.sides.remove(&key);
+            self.stream_connections.remove(&key);
             if reset {
                 let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
             }
         }
     }
 
-    /// Something waits at a listener or a datagram socket.
-    fn arrives(&mut self, link: usize) {
+    /// Handles a listener or a datagram socket that is readable.
+    fn on_link_ready(&mut self, link: usize) {
         match &self.routes[link] {
             Route::Tcp { .. } => self.accept(link),
-            Route::Udp { .. } => self.take_datagrams(link),
+            Route::Udp { .. } => self.receive_datagrams(link),
         }
     }
 
@@ -365,46 +384,49 @@
             }
             let to = *to;
             let Ok((stream, from)) = listener.accept() else { break };
-            if self.fills[link].iter().any(|fill| fill.local_addr().is_ok_and(|at| at == from)) {
+            if self.queue_fillers[link]
+                .iter()
+                .any(|filler| filler.local_addr().is_ok_and(|address| address == from))
+            {
                 continue;
             }
-            // Whoever connected finds the connection reset where the other does not take one.
-            let Ok(other) = connect(to) else {
+            // Resets the client's connection if the target does not accept one.
+            let Ok(target) = connect(to) else {
                 let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 continue;
             };
-            let keys = [self.next, self.next + 1];
-            self.next += 2;
-            let fit = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
-            let fit = fit.and_then(|()| self.poll.add(&stream, keys[0], true, false));
-            if fit.and_then(|()| self.poll.add(&other, keys[1], true, true)).is_err() {
+            let keys = [self.next_key, self.next_key + 1];
+            self.next_key += 2;
+            let registered = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
+            let registered = registered.and_then(|()| self.poll.add(&stream, keys[0], true, false));
+            if registered.and_then(|()| self.poll.add(&target, keys[1], true, true)).is_err() {
                 continue;
             }
-            self.sides.extend(keys.map(|key| (key, keys[0])));
+            self.stream_connections.extend(keys.map(|key| (key, keys[0])));
             let flows = [Flow::default(), Flow::default()];
-            self.pairs.insert(keys[0], Pair { link, streams: [stream, other], keys, flows });
+            self.connections.insert(keys[0], Connection { link, streams: [stream, target], keys, flows });
         }
         if let Route::Tcp { listener: Some(listener), .. } = &self.routes[link] {
             let _ = self.poll.rearm(listener, link, true, false);
         }
     }
 
-    fn take_datagrams(&mut self, link: usize) {
-        let mut bytes = [0; DATAGRAM];
+    fn receive_datagrams(&mut self, link: usize) {
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
         while let Route::Udp { socket, .. } = &self.routes[link] {
             let Ok((length, _)) = socket.recv_from(&mut bytes) else { break };
             let rule = self.rules[link];
             if rule.cut_there || (rule.loss > 0.0 && self.rng.random_bool(rule.loss.min(1.0))) {
                 continue;
             }
-            let wait = rule.delay + rule.jitter.mul_f64(self.rng.random());
-            if wait.is_zero() {
-                self.pass_datagram(link, &bytes[..length]);
+            let delay = rule.delay + rule.jitter.mul_f64(self.rng.random());
+            if delay.is_zero() {
+                self.send_datagram(link, &bytes[..length]);
             } else {
-                let key = self.next;
-                self.next += 1;
-                self.late.insert(key, (link, bytes[..length].to_vec()));
-                self.due.push(Reverse((self.start.elapsed() + wait, key)));
+                let key = self.next_key;
+                self.next_key += 1;
+                self.delayed.insert(key, (link, bytes[..length].to_vec()));
+                self.timers.push(Reverse((self.start.elapsed() + delay, key)));
             }
         }
         if let Route::Udp { socket, .. } = &self.routes[link] {
@@ -412,81 +434,82 @@
         }
     }
 
-    /// A datagram goes on from the address that its receiver knows its sender by.
-    fn pass_datagram(&mut self, link: usize, bytes: &[u8]) {
-        let Route::Udp { back, to, .. } = &self.routes[link] else { return };
-        if let Route::Udp { socket, .. } = &self.routes[*back] {
-            // One that can't be sent is lost, as datagrams may be.
+    /// Sends a datagram on, from the address that its receiver knows its sender by.
+    fn send_datagram(&mut self, link: usize, bytes: &[u8]) {
+        let Route::Udp { reverse, to, .. } = &self.routes[link] else { return };
+        if let Route::Udp { socket, .. } = &self.routes[*reverse] {
+            // A datagram that can't be sent is dropped, as UDP allows.
             let _ = socket.send_to(bytes, to);
         }
     }
 
-    /// Moves what can be moved on a connection, both ways, and asks for what is to come.
-    fn pump(&mut self, key: usize) {
+    /// Forwards what is due on a connection, in both directions, and registers for what it waits for next.
+    fn forward(&mut self, key: usize) {
         let now = self.start.elapsed();
-        let Some(pair) = self.pairs.get_mut(&key) else { return };
-        let rule = self.rules[pair.link];
-        let [one, other] = &pair.streams;
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        let rule = self.rules[connection.link];
+        let [client, target] = &connection.streams;
         let mut broken = false;
-        let mut next: Option<Duration> = None;
-        // Whether to wait for each stream to be readable, and writable.
-        let mut wants = [[false; 2]; 2];
-        for (n, (from, to)) in [(one, other), (other, one)].into_iter().enumerate() {
-            let flow = &mut pair.flows[n];
+        let mut next_due: Option<Duration> = None;
+        // By stream: whether to wait until it is readable, and until it is writable.
+        let mut interest = [[false; 2]; 2];
+        for (n, (from, to)) in [(client, target), (target, client)].into_iter().enumerate() {
+            let flow = &mut connection.flows[n];
             let cut = if n == 0 { rule.cut_there } else { rule.cut_back };
             if !cut && !broken {
                 broken |= flow.read(from, now, &rule, &mut self.rng);
             }
             if !cut && !broken {
                 match flow.write(to, now) {
-                    Ok(blocked) => wants[1 - n][1] |= blocked,
+                    Ok(blocked) => interest[1 - n][1] |= blocked,
                     Err(_) => broken = true,
                 }
             }
-            let open = !cut && !flow.ended && flow.held < HELD;
-            wants[n][0] |= open && flow.read_at <= now;
+            let open = !cut && !flow.ended && flow.buffered_bytes < MAX_BUFFERED_BYTES;
+            interest[n][0] |= open && flow.read_at <= now;
             if !cut {
-                let piece = flow.pieces.front().map(|(at, _)| *at).filter(|at| *at > now);
+                let chunk = flow.chunks.front().map(|(at, _)| *at).filter(|at| *at > now);
                 let read = (open && flow.read_at > now).then_some(flow.read_at);
-                next = next.into_iter().chain(piece).chain(read).min();
+                next_due = next_due.into_iter().chain(chunk).chain(read).min();
             }
         }
         if broken {
-            return self.drop_pair(key, true);
+            return self.drop_connection(key, true);
         }
-        if pair.flows.iter().all(|flow| flow.passed_end) {
-            return self.drop_pair(key, false);
+        if connection.flows.iter().all(|flow| flow.end_forwarded) {
+            return self.drop_connection(key, false);
         }
-        for ((stream, key), [read, write]) in pair.streams.iter().zip(pair.keys).zip(wants) {
+        for ((stream, key), [read, write]) in connection.streams.iter().zip(connection.keys).zip(interest) {
             let _ = self.poll.rearm(stream, key, read, write);
         }
-        if let Some(at) = next {
-            self.due.push(Reverse((at, key)));
+        if let Some(at) = next_due {
+            self.timers.push(Reverse((at, key)));
         }
     }
 }
 
 impl Flow {
-    /// Reads what is there and may be held. Gives whether the connection is broken.
+    /// Reads what is available, as far as buffer and rate allow. Returns whether the connection is broken or is to be
+    /// reset.
     fn read(&mut self, mut from: &TcpStream, now: Duration, rule: &Rule, rng: &mut ChaCha8Rng) -> bool {
         let mut buffer = [0; 16 * 1024];
-        while !self.ended && self.held < HELD && self.read_at <= now {
-            let most = rule.rate.map_or(buffer.len(), |rate| buffer.len().min((rate / 20).max(1) as usize));
-            match from.read(&mut buffer[..most]) {
+        while !self.ended && self.buffered_bytes < MAX_BUFFERED_BYTES && self.read_at <= now {
+            let max = rule.rate.map_or(buffer.len(), |rate| buffer.len().min((rate / 20).max(1) as usize));
+            match from.read(&mut buffer[..max]) {
                 Ok(0) => self.ended = true,
                 Ok(read) => {
                     if rule.reset > 0.0 && rng.random_bool(rule.reset.min(1.0)) {
                         return true;
                     }
-                    let wait = rule.delay
+                    let delay = rule.delay
                         + if rule.jitter.is_zero() {
                             Duration::ZERO
                         } else {
                             rule.jitter.mul_f64(rng.random())
                         };
-                    self.last = self.last.max(now + wait);
-                    self.held += read;
-                    self.pieces.push_back((self.last, buffer[..read].to_vec()));
+                    self.last_due = self.last_due.max(now + delay);
+                    self.buffered_bytes += read;
+                    self.chunks.push_back((self.last_due, buffer[..read].to_vec()));
                     if let Some(rate) = rule.rate {
                         self.read_at = now + Duration::from_secs_f64(read as f64 / rate.max(1) as f64);
                     }
@@ -500,16 +523,16 @@
         false
     }
 
-    /// Writes what is due. Gives whether the receiver takes no more for now.
+    /// Writes what is due. Returns whether the receiver accepts no more for now.
     fn write(&mut self, mut to: &TcpStream, now: Duration) -> io::Result<bool> {
-        while let Some((_, piece)) = self.pieces.front_mut().filter(|(at, _)| *at <= now) {
-            match to.write(piece) {
+        while let Some((_, chunk)) = self.chunks.front_mut().filter(|(at, _)| *at <= now) {
+            match to.write(chunk) {
                 Ok(written) => {
-                    self.held -= written;
-                    if written < piece.len() {
-                        piece.drain(..written);
+                    self.buffered_bytes -= written;
+                    if written < chunk.len() {
+                        chunk.drain(..written);
                     } else {
-                        self.pieces.pop_front();
+                        self.chunks.pop_front();
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -521,8 +544,8 @@
                 Err(error) => return Err(error),
             }
         }
-        if self.ended && self.pieces.is_empty() && !self.passed_end {
-            self.passed_end = true;
+        if self.ended && self.chunks.is_empty() && !self.end_forwarded {
+            self.end_forwarded = true;
             let _ = to.shutdown(std::net::Shutdown::Write);
         }
         Ok(false)
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -1,5 +1,6 @@
-//! What a run gives: counts of the whole fleet by second, the rules that were broken, and what is drawn from them.
-//! No I/O.
+//! The record of a run: counters of the whole fleet by second, violated rules, and figures derived from them. No I/O.
+//!
+//! Times in [`Record`] count in seconds from the clients' start; the other times count from the start of the run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,241 +9,250 @@
 use serde::{Deserialize, Serialize};
 
 use crate::load::{Fates, Refusal, Seen};
-use crate::schedule::{Act, Schedule};
+use crate::schedule::{Action, Schedule};
 
-/// Shares that differ by no more than this from the steady one are full service.
-pub const FULL: f64 = 0.95;
-/// A request whose connection was closed without an answer as its broker stopped listening is not taken; more than
-/// one in so many is too much.
-const CLOSED_SHARE: usize = 200;
-/// A broker that was killed has lost what came so long before: what it had not answered.
+/// Service counts as full again from this share of the steady one on.
+pub const FULL_SERVICE_SHARE: f64 = 0.95;
+/// A request counts as not accepted if its connection was closed without an answer because its broker stopped listening.
+/// More than one request in this many is a violation.
+const REQUESTS_PER_CLOSED: usize = 200;
+/// A killed broker loses the requests that it received up to this long before and had not answered.
 const EXCUSED_BEFORE: Duration = Duration::from_secs(5);
-/// A frame may be cut so long after a kill or a fault of the network.
-const CUT_AFTER: Duration = Duration::from_secs(1);
+/// Time after a kill or a network fault in which truncated frames are excused.
+const TRUNCATION_EXCUSED_FOR: Duration = Duration::from_secs(1);
 
-/// Counts of one second, over the whole fleet.
+/// Counters of one second, over the whole fleet. Queries are counted in the second in which they were due.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Seconds since the clients' start; before it while brokers start.
+    /// Seconds since the clients' start; negative while brokers start.
     pub second: i64,
-    /// Queries that were due in it, and what became of them in the end.
+    /// Queries that were due.
     pub offered: u32,
-    /// Whole answers within the aim.
+    /// Complete answers within the aim.
     pub in_time: u32,
-    /// Whole answers after it.
+    /// Complete answers after the aim.
     pub late: u32,
-    /// Partial answers.
+    /// Incomplete answers.
     pub partial: u32,
-    /// Refused for good.
+    /// Queries whose client gave up after refusals.
     pub refused: u32,
-    /// Failed.
+    /// Queries that failed.
     pub failed: u32,
-    /// Lost.
+    /// Queries without an answer in the client's time.
     pub lost: u32,
-    /// Lost as their connection was reset or closed without an answer.
+    /// Queries counted in `lost` whose connection was reset or closed without an answer.
     #[serde(default)]
     pub closed: u32,
-    /// Refusals, those that were tried again included.
+    /// Refusals, including those that were followed by a retry.
     pub refusals: u32,
-    /// Connections that no broker took.
+    /// Connections that no broker accepted.
     pub not_taken: u32,
-    /// Their clients left.
+    /// Queries whose client disconnected.
     #[serde(default)]
     pub left: u32,
-    /// Calls for the list, and those that were turned away.
+    /// Calls for the server list.
     pub list_calls: u32,
-    /// See `list_calls`.
+    /// Calls for the server list that discovery rejected.
     pub list_turned_away: u32,
-    /// Connections that came up at all servers, and at the one with most.
+    /// Connections accepted by all servers.
     pub handshakes: u32,
-    /// See `handshakes`.
+    /// Connections accepted by the server with most of them.
     pub handshakes_most: u32,
-    /// Connections that a server held at the most.
+    /// Largest number of connections open at one server.
     pub open_most: u32,
-    /// Connections that servers closed at once.
+    /// Connections that servers closed on arrival.
     pub connections_refused: u32,
-    /// Parts that came to servers.
+    /// Parts that servers received.
     pub parts: u32,
-    /// Parts that servers turned away.
+    /// Parts that servers rejected.
     pub turned_away: u32,
-    /// Parts that failed or were swallowed.
+    /// Parts that failed or were never answered.
     pub parts_lost: u32,
-    /// Work on cold servers, in seconds of a warm worker.
+    /// Work received by cold servers, in seconds of a warm worker.
     pub cold_work: f64,
-    /// The highest share of its joint limit that a cold server was under.
+    /// Highest load of a cold server, as a share of the load that crashes it.
     pub strain: f64,
-    /// Probes.
+    /// Probes that servers received.
     pub probes: u32,
     /// Processor time of all brokers, in seconds.
     pub cpu: f64,
-    /// The most resident memory of a broker, in MB.
+    /// Largest resident memory of a broker, in MB.
     pub memory_mb: f64,
     /// Warnings in the brokers' logs.
     pub warnings: u32,
 }
 
 impl Row {
-    /// Share of the queries that were answered whole within their aim.
+    /// Share of the queries that were answered completely within their aim; 1 if there were none.
     pub fn share(&self) -> f64 {
         if self.offered == 0 { 1.0 } else { f64::from(self.in_time) / f64::from(self.offered) }
     }
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Broken {
-    /// When, in seconds since the clients' start.
+pub struct BrokenRule {
+    /// When it was seen, in seconds since the clients' start.
     pub at: f64,
-    /// Which rule.
+    /// The rule's name.
     pub rule: String,
     /// What was seen.
     pub what: String,
 }
 
-/// What one broker's processes used and said, over all of its starts.
+/// Resource usage and log warnings of one broker's processes, over all of its starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Used {
-    /// Starts.
+pub struct BrokerUsage {
+    /// Number of starts.
     pub starts: u32,
     /// Processor time, in seconds.
     pub cpu: f64,
-    /// The most resident memory, in MB.
+    /// Largest resident memory, in MB.
     pub memory_mb: f64,
     /// Warnings in its log.
     pub warnings: u32,
 }
 
-/// An upgrade of a broker, in seconds since the clients' start.
+/// An upgrade of a broker. Times are in seconds since the clients' start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Upgraded {
+pub struct UpgradeRecord {
     /// The broker.
     pub broker: usize,
     /// When the new process was started.
     pub at: f64,
-    /// Which of the broker's starts the old process was: the current one until the new one was ready.
+    /// Number of the old process among the broker's starts.
     pub old_run: u32,
-    /// Which of the broker's starts the new process was.
+    /// Number of the new process among the broker's starts.
     pub run: u32,
-    /// How long it took to be ready; none if it never was.
+    /// Seconds until the new process was ready; none if it never was.
     pub ready_s: Option<f64>,
     /// When the old process had ended.
     pub old_ended: Option<f64>,
-    /// The old process had to be killed.
+    /// Whether the old process had to be killed.
     pub killed: bool,
 }
 
-/// A drain of a broker, in seconds since the clients' start.
+/// A drain of a broker. Times are in seconds since the clients' start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Drained {
+pub struct DrainRecord {
     /// The broker.
     pub broker: usize,
     /// When it was told to drain.
     pub at: f64,
-    /// Connections that clients held idle when it should have been rid of them.
+    /// Idle client connections that were still open at the drain's time limit.
     pub idle: usize,
-    /// How long before then a request was last sent to it; none if none was.
+    /// Seconds from the last request sent to it until the drain's time limit; none if there was no request.
     pub unused_s: Option<f64>,
-    /// How long it took to be up again once it was told to; none if it was not.
+    /// Seconds from the end of the drain until it was up again; none if it was not.
     pub back_s: Option<f64>,
 }
 
-/// A whole run.
+/// The record of a run, as written to `record.json`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// The scenario's name.
     pub name: String,
-    /// Brokers, servers and the seed.
+    /// Number of brokers.
     pub brokers: usize,
-    /// See `brokers`.
+    /// Number of servers at the start.
     pub servers: usize,
-    /// See `brokers`.
+    /// The scenario's seed.
     pub seed: u64,
-    /// When the first fault began, in seconds since the clients' start.
+    /// Time of the first fault; none if there was no fault.
     pub fault_at: Option<f64>,
-    /// How long the fleet took from then to serve its steady share again, in seconds; none if it did not, or if
-    /// there was no fault.
+    /// Seconds from the first fault until the fleet served its steady share again; none if it did not, or if there was
+    /// no fault.
     pub full_service_s: Option<f64>,
-    /// The share that was served before the first fault.
+    /// Share of the queries answered completely in time before the first fault.
     pub steady: f64,
-    /// Counts by second.
+    /// Counters by second.
     pub rows: Vec<Row>,
-    /// Median and 99th percentile of the answers' times, in milliseconds.
+    /// Median and 99th percentile of the response times, in milliseconds.
     pub times_ms: [f64; 2],
-    /// How late the harness itself sent at the worst, in milliseconds.
+    /// Largest delay of the harness itself in sending a query, in milliseconds.
     pub lateness_ms: f64,
-    /// Attempts at servers for each part that clients asked.
+    /// Attempts at servers per part that clients requested.
     pub attempts_per_part: f64,
-    /// Keyed parts that ran again inside their window.
+    /// Keyed parts that were executed again within their idempotency window.
     pub repeated: u32,
-    /// By broker.
-    pub used: Vec<Used>,
-    /// Upgrades, by time.
+    /// Resource usage by broker.
+    pub used: Vec<BrokerUsage>,
+    /// Upgrades, in time order.
     #[serde(default)]
-    pub upgrades: Vec<Upgraded>,
-    /// Drains, by time.
+    pub upgrades: Vec<UpgradeRecord>,
+    /// Drains, in time order.
     #[serde(default)]
-    pub drains: Vec<Drained>,
-    /// Rules that were broken.
-    pub broken: Vec<Broken>,
+    pub drains: Vec<DrainRecord>,
+    /// Violations, in time order.
+    pub broken: Vec<BrokenRule>,
 }
 
-/// An upgrade as the runner saw it; times are since the base.
+/// An upgrade as seen by the runner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Upgrade {
+pub struct ObservedUpgrade {
     /// The broker.
     pub broker: usize,
     /// When the new process was started.
     pub began: Duration,
-    /// Which of the broker's starts the old process was.
+    /// Number of the old process among the broker's starts.
     pub old_run: u32,
-    /// Which of the broker's starts the new process was.
+    /// Number of the new process among the broker's starts.
     pub run: u32,
-    /// When the new process said that it was ready.
+    /// When the new process reported that it was ready.
     pub ready: Option<Duration>,
     /// When the old process had ended.
     pub old_ended: Option<Duration>,
-    /// The old process had to be killed.
+    /// Whether the old process had to be killed.
     pub killed: bool,
 }
 
-/// A drain as the runner saw it; times are since the base.
+/// A drain as seen by the runner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Drain {
+pub struct ObservedDrain {
     /// The broker.
     pub broker: usize,
     /// When it was told to drain.
     pub began: Duration,
-    /// Connections that clients held idle when it should have been rid of them.
+    /// Idle client connections that were still open at the drain's time limit.
     pub idle: usize,
-    /// How long before then a request was last sent to it.
+    /// Time from the last request sent to it until the drain's time limit.
     pub unused: Option<Duration>,
-    /// When it was told to take clients again.
+    /// When it was told to accept clients again.
     pub stopped: Option<Duration>,
-    /// When it said that it was up.
+    /// When it reported that it was up again.
     pub back: Option<Duration>,
 }
 
-/// What the runner itself has gathered.
+/// Resource usage of the fleet in one second.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct FleetUsage {
+    /// Processor time of all brokers, in seconds.
+    pub cpu: f64,
+    /// Largest resident memory of a broker, in MB.
+    pub memory_mb: f64,
+}
+
+/// Observations of the runner itself.
 #[derive(Debug, Default)]
-pub struct Gathered {
-    /// Warnings by second since the base.
+pub struct RunObservations {
+    /// Warnings in the brokers' logs, by second.
     pub warnings: BTreeMap<u64, u32>,
-    /// Processor time of all brokers, and the most memory of one, by second since the base.
-    pub uses: BTreeMap<u64, (f64, f64)>,
-    /// Brokers that ended by themselves or did not start: when and what.
+    /// Resource usage, by second.
+    pub usage: BTreeMap<u64, FleetUsage>,
+    /// Brokers that exited unexpectedly or did not start: time and description.
     pub crashed: Vec<(Duration, String)>,
-    /// Rules that the runner saw broken.
-    pub broken: Vec<Violation>,
+    /// Violations of rules that the runner checks.
+    pub violations: Vec<Violation>,
     /// Upgrades.
-    pub upgrades: Vec<Upgrade>,
+    pub upgrades: Vec<ObservedUpgrade>,
     /// Drains.
-    pub drains: Vec<Drain>,
+    pub drains: Vec<ObservedDrain>,
 }
 
-/// The upgrades in seconds since the clients' start, which was at `offset`.
-pub fn upgrades(gathered: &Gathered, offset: Duration) -> Vec<Upgraded> {
+/// The upgrades for the record; the clients started at `offset`.
+pub fn upgrade_records(observations: &RunObservations, offset: Duration) -> Vec<UpgradeRecord> {
     let since_start = |at: Duration| at.as_secs_f64() - offset.as_secs_f64();
-    let upgraded = |upgrade: &Upgrade| Upgraded {
+    let to_record = |upgrade: &ObservedUpgrade| UpgradeRecord {
         broker: upgrade.broker,
         at: since_start(upgrade.began),
         old_run: upgrade.old_run,
@@ -251,32 +261,33 @@
         old_ended: upgrade.old_ended.map(since_start),
         killed: upgrade.killed,
     };
-    gathered.upgrades.iter().map(upgraded).collect()
+    observations.upgrades.iter().map(to_record).collect()
 }
 
-/// The drains in seconds since the clients' start, which was at `offset`.
-pub fn drains(gathered: &Gathered, offset: Duration) -> Vec<Drained> {
-    let drained = |drain: &Drain| Drained {
+/// The drains for the record; the clients started at `offset`.
+pub fn drain_records(observations: &RunObservations, offset: Duration) -> Vec<DrainRecord> {
+    let to_record = |drain: &ObservedDrain| DrainRecord {
         broker: drain.broker,
         at: drain.began.as_secs_f64() - offset.as_secs_f64(),
         idle: drain.idle,
         unused_s: drain.unused.map(|unused| unused.as_secs_f64()),
         back_s: drain.back.zip(drain.stopped).map(|(back, stopped)| (back - stopped).as_secs_f64()),
     };
-    gathered.drains.iter().map(drained).collect()
+    observations.drains.iter().map(to_record).collect()
 }
 
-/// Requests that brokers refused from their first upgrade or drain on. Those that the schedule also kills or
-/// restarts may refuse some.
+/// Requests and connections that brokers refused after the start of their first upgrade or drain. Brokers that the
+/// schedule also kills or restarts are left out, as they may refuse some.
 fn refusals(seen: &Seen, schedule: &Schedule, offset: Duration) -> Vec<Violation> {
     let seamless_from = |broker: usize| {
-        let ends = |act: &Act| matches!(act, Act::Kill(b) | Act::Restart(b) if *b == broker);
-        let seamless = |act: &Act| matches!(act, Act::Upgrade(b) | Act::StartDrain(b) if *b == broker);
-        let ended = schedule.acts.iter().any(|(_, act)| ends(act));
-        let first = schedule.acts.iter().find(|(_, act)| seamless(act));
+        let ends = |action: &Action| matches!(action, Action::Kill(b) | Action::Restart(b) if *b == broker);
+        let seamless =
+            |action: &Action| matches!(action, Action::Upgrade(b) | Action::StartDrain(b) if *b == broker);
+        let ended = schedule.actions.iter().any(|(_, action)| ends(action));
+        let first = schedule.actions.iter().find(|(_, action)| seamless(action));
         first.filter(|_| !ended).map(|(at, _)| *at + offset)
     };
-    let breach = |refusal: &Refusal| {
+    let violation = |refusal: &Refusal| {
         let how = match refusal.status {
             Some(status) => format!("answered {status}"),
             None => "did not take a connection or request".to_owned(),
@@ -286,38 +297,40 @@
     let refused = seen.refused.iter();
     let refused =
         refused.filter(|refusal| seamless_from(refusal.broker).is_some_and(|from| refusal.at >= from));
-    refused.map(breach).collect()
+    refused.map(violation).collect()
 }
 
-/// What stays of the rules that the stand-ins and clients saw broken, with those that the schedule explains left
-/// out. Times are since the base; clients began at `offset`.
-pub fn breaches(
+/// The violations of a run, in time order, without those that the schedule's faults explain. The clients started at
+/// `offset`. In the spans of `frame_faults`, as start and end since the clients' start, the network may truncate frames.
+pub fn violations(
     ledger: &Ledger,
     seen: &Seen,
-    gathered: &Gathered,
+    observations: &RunObservations,
     schedule: &Schedule,
     offset: Duration,
-    rough: &[(Duration, Duration)],
+    frame_faults: &[(Duration, Duration)],
 ) -> Vec<Violation> {
     let excused: Vec<Vec<(Duration, Duration)>> =
         (0..=seen.unanswered.iter().map(|lost| lost.broker).max().unwrap_or(0))
-            .map(|broker| schedule.excused(broker))
+            .map(|broker| schedule.excused_spans(broker))
             .collect();
     let kills: Vec<Duration> = schedule
-        .acts
+        .actions
         .iter()
-        .filter(|(_, act)| matches!(act, Act::Kill(_)))
+        .filter(|(_, action)| matches!(action, Action::Kill(_)))
         .map(|(at, _)| *at + offset)
         .collect();
     let mut found = Vec::new();
-    for breach in &ledger.violations {
-        // A process that is killed can't end its frames, and a network that resets cuts them.
-        let after = |from: Duration, until: Duration| breach.at >= from && breach.at <= until + CUT_AFTER;
-        let explained = breach.rule == Rule::CutFrame
+    for violation in &ledger.violations {
+        // A killed process can't complete its frames, and a reset connection truncates them.
+        let after = |from: Duration, until: Duration| {
+            violation.at >= from && violation.at <= until + TRUNCATION_EXCUSED_FOR
+        };
+        let explained = violation.rule == Rule::CutFrame
             && (kills.iter().any(|at| after(*at, *at))
-                || rough.iter().any(|(from, until)| after(*from + offset, *until + offset)));
+                || frame_faults.iter().any(|(from, until)| after(*from + offset, *until + offset)));
         if !explained {
-            found.push(breach.clone());
+            found.push(violation.clone());
         }
     }
     let mut closed = Vec::new();
@@ -331,31 +344,35 @@
         }
         let how = if lost.closed { "its connection was closed" } else { "nothing came" };
         let took = lost.ended.saturating_sub(lost.sent).as_millis();
-        let what = format!("{} had no answer: {how} after {took} ms", lost.id);
-        let breach = Violation { at: lost.ended, rule: Rule::NoAnswer, details: what };
-        if lost.closed { closed.push(breach) } else { found.push(breach) }
+        let details = format!("{} had no answer: {how} after {took} ms", lost.id);
+        let violation = Violation { at: lost.ended, rule: Rule::NoAnswer, details };
+        if lost.closed { closed.push(violation) } else { found.push(violation) }
     }
     let offered: u32 = seen.fates.values().map(|fates| fates.offered).sum();
-    // An upgrade or a drain has no price.
-    if schedule.is_seamless() || closed.len() * CLOSED_SHARE > offered as usize {
+    // Upgrades and drains must not close any request.
+    if schedule.is_seamless() || closed.len() * REQUESTS_PER_CLOSED > offered as usize {
         found.append(&mut closed);
     }
     found.extend(refusals(seen, schedule, offset));
-    found.extend(gathered.broken.iter().cloned());
+    found.extend(observations.violations.iter().cloned());
     let wrong = seen.wrong.iter();
-    found.extend(wrong.map(|(at, what)| Violation {
+    found.extend(wrong.map(|(at, details)| Violation {
         at: *at,
         rule: Rule::WrongAnswer,
-        details: what.clone(),
+        details: details.clone(),
     }));
-    let crashed = gathered.crashed.iter();
-    found.extend(crashed.map(|(at, what)| Violation { at: *at, rule: Rule::Crashed, details: what.clone() }));
-    found.sort_by_key(|breach| breach.at);
+    let crashed = observations.crashed.iter();
+    found.extend(crashed.map(|(at, details)| Violation {
+        at: *at,
+        rule: Rule::Crashed,
+        details: details.clone(),
+    }));
+    found.sort_by_key(|violation| violation.at);
     found
 }
 
-/// Counts by second, from the clients' second `offset` on; whole seconds.
-pub fn rows(ledger: &Ledger, seen: &Seen, gathered: &Gathered, offset: u64) -> Vec<Row> {
+/// The counters by second, numbered from the clients' start, which was at second `offset`.
+pub fn rows(ledger: &Ledger, seen: &Seen, observations: &RunObservations, offset: u64) -> Vec<Row> {
     let mut rows: BTreeMap<u64, Row> = BTreeMap::new();
     for (second, fates) in &seen.fates {
         let Fates {
@@ -387,54 +404,54 @@
         };
         rows.insert(*second, row);
     }
-    for ((second, _), cell) in &ledger.server_counts {
+    for ((second, _), counts) in &ledger.server_counts {
         let row = rows.entry(*second).or_default();
-        row.handshakes += cell.handshakes;
-        row.handshakes_most = row.handshakes_most.max(cell.handshakes);
-        row.open_most = row.open_most.max(cell.max_open);
-        row.connections_refused += cell.refused_connections;
-        row.parts += cell.parts;
-        row.turned_away += cell.rejected;
-        row.parts_lost += cell.lost;
-        row.cold_work += cell.cold_work;
-        row.strain = row.strain.max(cell.cold_load);
-        row.probes += cell.probes;
+        row.handshakes += counts.handshakes;
+        row.handshakes_most = row.handshakes_most.max(counts.handshakes);
+        row.open_most = row.open_most.max(counts.max_open);
+        row.connections_refused += counts.refused_connections;
+        row.parts += counts.parts;
+        row.turned_away += counts.rejected;
+        row.parts_lost += counts.lost;
+        row.cold_work += counts.cold_work;
+        row.strain = row.strain.max(counts.cold_load);
+        row.probes += counts.probes;
     }
     for (second, calls) in &ledger.list_calls {
         let row = rows.entry(*second).or_default();
         (row.list_calls, row.list_turned_away) = (calls.received, calls.rejected);
     }
-    for (second, warnings) in &gathered.warnings {
+    for (second, warnings) in &observations.warnings {
         rows.entry(*second).or_default().warnings = *warnings;
     }
-    for (second, (cpu, memory)) in &gathered.uses {
+    for (second, usage) in &observations.usage {
         let row = rows.entry(*second).or_default();
-        (row.cpu, row.memory_mb) = (*cpu, *memory);
+        (row.cpu, row.memory_mb) = (usage.cpu, usage.memory_mb);
     }
     let numbered = rows.into_iter().map(|(second, row)| Row { second: second as i64 - offset as i64, ..row });
     numbered.collect()
 }
 
-/// The share served before the first fault, and how long after it the fleet served that again, to within
-/// [`FULL`], for so many seconds in a row or up to the end.
+/// The share of queries answered completely in time before the first fault, and the seconds from that fault until the
+/// fleet served [`FULL_SERVICE_SHARE`] of it again in each of `hold` consecutive seconds, or of those left in the run.
 pub fn full_service(rows: &[Row], fault_at: Option<f64>, hold: usize) -> (f64, Option<f64>) {
-    let asked: Vec<&Row> = rows.iter().filter(|row| row.second >= 0 && row.offered > 0).collect();
+    let active: Vec<&Row> = rows.iter().filter(|row| row.second >= 0 && row.offered > 0).collect();
     let mean = |rows: &[&Row]| {
         let (served, offered) = rows.iter().fold((0, 0), |(s, o), row| (s + row.in_time, o + row.offered));
         if offered == 0 { 1.0 } else { f64::from(served) / f64::from(offered) }
     };
-    let Some(fault_at) = fault_at else { return (mean(&asked), None) };
+    let Some(fault_at) = fault_at else { return (mean(&active), None) };
     let before: Vec<&Row> =
-        asked.iter().copied().filter(|row| ((row.second + 1) as f64) <= fault_at).collect();
+        active.iter().copied().filter(|row| ((row.second + 1) as f64) <= fault_at).collect();
     let steady = mean(&before);
     let after: Vec<&Row> =
-        asked.iter().copied().filter(|row| row.second as f64 >= fault_at.floor()).collect();
-    let good = |n: usize| {
+        active.iter().copied().filter(|row| row.second as f64 >= fault_at.floor()).collect();
+    let is_full = |n: usize| {
         let held = &after[n..(n + hold).min(after.len())];
-        held.iter().all(|row| row.share() >= FULL * steady)
+        held.iter().all(|row| row.share() >= FULL_SERVICE_SHARE * steady)
     };
-    let found = (0..after.len()).find(|n| good(*n));
-    (steady, found.map(|n| (after[n].second as f64 - fault_at).max(0.0)))
+    let recovered = (0..after.len()).find(|n| is_full(*n));
+    (steady, recovered.map(|n| (after[n].second as f64 - fault_at).max(0.0)))
 }
 
 #[cfg(test)]
@@ -445,7 +462,7 @@
     const S: Duration = Duration::from_secs(1);
 
     fn seen(unanswered: Vec<Unanswered>) -> Seen {
-        let times = hdrhistogram::Histogram::new(3).expect("sound");
+        let times = hdrhistogram::Histogram::new(3).expect("valid precision");
         let fates = BTreeMap::from([(0, Fates { offered: 300, ..Fates::default() })]);
         let (refused, wrong) = (Vec::new(), Vec::new());
         Seen { fates, times, unanswered, refused, wrong, lateness: Duration::ZERO }
@@ -455,44 +472,44 @@
         Unanswered { id: format!("b{broker}-1"), broker, sent, ended, closed }
     }
 
-    fn found(ledger: &Ledger, seen: &Seen) -> Vec<Rule> {
-        let schedule = Schedule { acts: vec![(S * 10, Act::Kill(1))], later: Vec::new() };
-        let crashed = Gathered::default();
-        let all = breaches(ledger, seen, &crashed, &schedule, S, &[(S * 20, S * 22)]);
-        all.into_iter().map(|breach| breach.rule).collect()
+    fn violated_rules(ledger: &Ledger, seen: &Seen) -> Vec<Rule> {
+        let schedule = Schedule { actions: vec![(S * 10, Action::Kill(1))], added_servers: Vec::new() };
+        let observations = RunObservations::default();
+        let all = violations(ledger, seen, &observations, &schedule, S, &[(S * 20, S * 22)]);
+        all.into_iter().map(|violation| violation.rule).collect()
     }
 
-    // What the schedule explains is no fault of a broker's, and nothing else is explained away.
+    // Violations that a scheduled fault explains are left out; all others stay, also those of the same rule.
     #[test]
-    fn only_what_a_fault_explains_is_left_out() {
+    fn only_violations_that_a_fault_explains_are_left_out() {
         let ledger = Ledger::default();
-        assert_eq!(found(&ledger, &seen(vec![lost(1, S * 10, S * 11, true)])), []);
-        assert_eq!(found(&ledger, &seen(vec![lost(1, S * 10, S * 14, false)])), []);
-        assert_eq!(found(&ledger, &seen(vec![lost(0, S * 10, S * 14, false)])), [Rule::NoAnswer]);
-        assert_eq!(found(&ledger, &seen(vec![lost(1, S * 12, S * 16, false)])), [Rule::NoAnswer]);
-        assert_eq!(found(&ledger, &seen(vec![lost(1, S * 2, S * 6, false)])), [Rule::NoAnswer]);
-        // One in 300 may be closed as it came; two are more than one in 200.
+        assert_eq!(violated_rules(&ledger, &seen(vec![lost(1, S * 10, S * 11, true)])), []);
+        assert_eq!(violated_rules(&ledger, &seen(vec![lost(1, S * 10, S * 14, false)])), []);
+        assert_eq!(violated_rules(&ledger, &seen(vec![lost(0, S * 10, S * 14, false)])), [Rule::NoAnswer]);
+        assert_eq!(violated_rules(&ledger, &seen(vec![lost(1, S * 12, S * 16, false)])), [Rule::NoAnswer]);
+        assert_eq!(violated_rules(&ledger, &seen(vec![lost(1, S * 2, S * 6, false)])), [Rule::NoAnswer]);
+        // One closed request in 300 is allowed; two are more than one in 200.
         let closed = lost(0, S * 30, S * 30, true);
-        assert_eq!(found(&ledger, &seen(vec![closed.clone()])), []);
-        assert_eq!(found(&ledger, &seen(vec![closed.clone(), closed])).len(), 2);
+        assert_eq!(violated_rules(&ledger, &seen(vec![closed.clone()])), []);
+        assert_eq!(violated_rules(&ledger, &seen(vec![closed.clone(), closed])).len(), 2);
         let mut ledger = Ledger::default();
         for at in [11, 12, 13, 21, 25] {
             ledger.record_violation(S * at, Rule::CutFrame, at.to_string());
         }
         assert_eq!(
-            found(&ledger, &seen(Vec::new())),
+            violated_rules(&ledger, &seen(Vec::new())),
             [Rule::CutFrame, Rule::CutFrame],
             "those at 13 and 25 s"
         );
         let mut ledger = Ledger::default();
         ledger.record_violation(S * 11, Rule::SecondCopy, String::new());
-        assert_eq!(found(&ledger, &seen(Vec::new())), [Rule::SecondCopy]);
+        assert_eq!(violated_rules(&ledger, &seen(Vec::new())), [Rule::SecondCopy]);
     }
 
-    // In an upgrade or a drain no request may be closed or refused; before it, and where brokers are killed too,
-    // some may.
+    // During an upgrade or a drain no request may be closed or refused. Before it, and at brokers that are also killed,
+    // some may be.
     #[test]
-    fn an_upgrade_and_a_drain_have_no_price() {
+    fn upgrades_and_drains_must_not_close_or_refuse_requests() {
         let refusal = |broker, at, status| Refusal { at, broker, status };
         let mut seen = seen(vec![lost(0, S * 3, S * 3, true)]);
         seen.refused = vec![
@@ -502,17 +519,18 @@
             refusal(2, S * 9, None),
             refusal(3, S * 9, None),
         ];
-        let acts = vec![
-            (S * 5, Act::Upgrade(0)),
-            (S * 5, Act::StartDrain(1)),
-            (S * 5, Act::Upgrade(3)),
-            (S * 6, Act::Kill(3)),
+        let actions = vec![
+            (S * 5, Action::Upgrade(0)),
+            (S * 5, Action::StartDrain(1)),
+            (S * 5, Action::Upgrade(3)),
+            (S * 6, Action::Kill(3)),
         ];
-        let schedule = Schedule { acts, later: Vec::new() };
-        let mut gathered = Gathered::default();
-        gathered.broken.push(Violation { at: S * 12, rule: Rule::NotReady, details: String::new() });
-        let all = breaches(&Ledger::default(), &seen, &gathered, &schedule, S, &[]);
-        let all: Vec<(Rule, Duration)> = all.into_iter().map(|breach| (breach.rule, breach.at)).collect();
+        let schedule = Schedule { actions, added_servers: Vec::new() };
+        let mut observations = RunObservations::default();
+        observations.violations.push(Violation { at: S * 12, rule: Rule::NotReady, details: String::new() });
+        let all = violations(&Ledger::default(), &seen, &observations, &schedule, S, &[]);
+        let all: Vec<(Rule, Duration)> =
+            all.into_iter().map(|violation| (violation.rule, violation.at)).collect();
         let expected = [
             (Rule::NoAnswer, S * 3),
             (Rule::Refused, S * 6),
@@ -523,30 +541,42 @@
     }
 
     #[test]
-    fn upgrades_and_drains_are_recorded_from_the_clients_start() {
-        let mut gathered = Gathered::default();
+    fn upgrades_and_drains_are_recorded_relative_to_the_clients_start() {
+        let mut observations = RunObservations::default();
         let ready = Some(S * 6);
-        gathered.upgrades.push(Upgrade {
+        observations.upgrades.push(ObservedUpgrade {
             broker: 2,
             began: S * 5,
             old_run: 1,
             run: 2,
             ready,
-            ..Upgrade::default()
+            ..ObservedUpgrade::default()
         });
         let (stopped, back) = (Some(S * 9), Some(S * 10));
-        gathered.drains.push(Drain { broker: 1, began: S * 4, stopped, back, ..Drain::default() });
-        let upgraded =
-            Upgraded { broker: 2, at: 4.0, old_run: 1, run: 2, ready_s: Some(1.0), ..Upgraded::default() };
-        assert_eq!(upgrades(&gathered, S), [upgraded]);
+        observations.drains.push(ObservedDrain {
+            broker: 1,
+            began: S * 4,
+            stopped,
+            back,
+            ..ObservedDrain::default()
+        });
+        let expected = UpgradeRecord {
+            broker: 2,
+            at: 4.0,
+            old_run: 1,
+            run: 2,
+            ready_s: Some(1.0),
+            ..UpgradeRecord::default()
+        };
+        assert_eq!(upgrade_records(&observations, S), [expected]);
         assert_eq!(
-            drains(&gathered, S),
-            [Drained { broker: 1, at: 3.0, back_s: Some(1.0), ..Drained::default() }]
+            drain_records(&observations, S),
+            [DrainRecord { broker: 1, at: 3.0, back_s: Some(1.0), ..DrainRecord::default() }]
         );
     }
 
     #[test]
-    fn service_is_full_again_once_it_stays_so() {
+    fn service_is_full_again_once_the_share_holds() {
         let rows = |shares: &[u32]| -> Vec<Row> {
             let row = |(n, in_time): (usize, &u32)| Row {
                 second: n as i64,
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -1,4 +1,4 @@
-//! A run as a table, and drawn over time.
+//! Reports on a run: a table of its counters, and plots over time.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -7,7 +7,7 @@
 
 use crate::record::{Record, Row};
 
-/// A run in words and a row for each second.
+/// A summary of a run, and a table with a row per second.
 pub fn table(record: &Record) -> String {
     let mut text = String::new();
     let _ = writeln!(
@@ -19,8 +19,8 @@
         record.seed,
         if record.broken.is_empty() { "no rule broken" } else { "RULES BROKEN" }
     );
-    let sum = |of: fn(&Row) -> u32| record.rows.iter().map(of).sum::<u32>();
-    let most = |of: fn(&Row) -> u32| record.rows.iter().map(of).max().unwrap_or(0);
+    let sum = |counter: fn(&Row) -> u32| record.rows.iter().map(counter).sum::<u32>();
+    let max = |counter: fn(&Row) -> u32| record.rows.iter().map(counter).max().unwrap_or(0);
     let _ = writeln!(
         text,
         "queries {}: in time {}, late {}, partial {}, refused {}, failed {}, lost {}; median {:.1} ms, 99th {:.1} ms",
@@ -36,22 +36,22 @@
     );
     let _ = writeln!(
         text,
-        "at the peak of a second: {} calls for the list, {} handshakes at one server, {} connections held by one; \
-         a cold server under {:.2} of its joint limit; {:.2} attempts a part; the harness sent {:.0} ms late at the worst",
-        most(|r| r.list_calls),
-        most(|r| r.handshakes_most),
-        most(|r| r.open_most),
+        "maximum per second: {} calls for the list, {} handshakes at one server, {} open connections at one server; \
+         cold server at {:.2} of the load that crashes it; {:.2} attempts per part; harness sent up to {:.0} ms late",
+        max(|r| r.list_calls),
+        max(|r| r.handshakes_most),
+        max(|r| r.open_most),
         record.rows.iter().map(|r| r.strain).fold(0.0, f64::max),
         record.attempts_per_part,
         record.lateness_ms,
     );
     if let Some(at) = record.fault_at {
-        let took = record
+        let recovery = record
             .full_service_s
-            .map_or("not in this run".to_owned(), |took| format!("{took:.0} s after it"));
+            .map_or("not in this run".to_owned(), |seconds| format!("after {seconds:.0} s"));
         let _ = writeln!(
             text,
-            "first fault at {at:.1} s, share before it {:.3}; full service again: {took}",
+            "first fault at {at:.1} s, share in time before it {:.3}; full service again: {recovery}",
             record.steady
         );
     }
@@ -112,7 +112,7 @@
     text
 }
 
-/// What upgrades took and cost, as a line; empty where there were none.
+/// A line on the duration and cost of upgrades; empty if there were none.
 fn upgrades(record: &Record) -> String {
     if record.upgrades.is_empty() {
         return String::new();
@@ -120,7 +120,7 @@
     let mut ready: Vec<f64> = record.upgrades.iter().filter_map(|upgrade| upgrade.ready_s).collect();
     ready.sort_by(f64::total_cmp);
     let (median, worst) = (ready.get(ready.len() / 2), ready.last());
-    let seconds = |figure: Option<&f64>| figure.map_or("-".to_owned(), |figure| format!("{figure:.3} s"));
+    let seconds = |time: Option<&f64>| time.map_or("-".to_owned(), |time| format!("{time:.3} s"));
     format!(
         "upgrades {}: ready {}, median {}, worst {}; old processes killed {}; {}\n",
         record.upgrades.len(),
@@ -132,7 +132,7 @@
     )
 }
 
-/// What drains left and took, as a line; empty where there were none.
+/// A line on the idle connections left by drains, and their duration and cost; empty if there were none.
 fn drains(record: &Record) -> String {
     if record.drains.is_empty() {
         return String::new();
@@ -148,35 +148,35 @@
     )
 }
 
-/// What clients lost in a run.
+/// The requests that clients lost in a run.
 fn costs(record: &Record) -> String {
     let lost: u32 = record.rows.iter().map(|row| row.lost).sum();
     let closed: u32 = record.rows.iter().map(|row| row.closed).sum();
     let broken = |rule: &str| record.broken.iter().filter(|broken| broken.rule == rule).count();
     format!(
-        "requests lost {lost}, of them on connections that were reset or closed {closed}; refused {}; effects doubled {}",
+        "requests lost {lost}, of these on reset or closed connections {closed}; refused {}; executed twice {}",
         broken("Refused"),
         broken("Doubled")
     )
 }
 
-/// A line of a panel: its colour, and its figure in each second.
+/// A line of a plot: its colour, and its value in each second.
 type Line = (RGBColor, fn(&Row) -> f64);
 
-/// Draws a run over time as SVG: served shares, then handshakes and calls for the list, then work on cold servers.
+/// Plots a run over time as SVG: queries, handshakes, calls for the server list, and the load of cold servers.
 ///
 /// # Errors
 ///
-/// When the file can't be written.
+/// When the plot can't be drawn or the file can't be written.
 pub fn draw(record: &Record, path: &Path) -> Result<(), String> {
-    let plain = |error: &dyn std::fmt::Display| error.to_string();
+    let message = |error: &dyn std::fmt::Display| error.to_string();
     let area = SVGBackend::new(path, (900, 720)).into_drawing_area();
-    area.fill(&WHITE).map_err(|e| plain(&e))?;
+    area.fill(&WHITE).map_err(|e| message(&e))?;
     let rows: Vec<&Row> = record.rows.iter().filter(|row| row.second >= 0).collect();
     let end = rows.last().map_or(1, |row| row.second + 1) as f64;
-    let panels: [(&str, Vec<Line>); 4] = [
+    let plots: [(&str, Vec<Line>); 4] = [
         (
-            "queries a second: offered (grey), answered whole in time (green), refused (red)",
+            "queries per second: offered (grey), answered completely in time (green), refused (red)",
             vec![
                 (RGBColor(150, 150, 150), |r| f64::from(r.offered)),
                 (RGBColor(0, 130, 60), |r| f64::from(r.in_time)),
@@ -184,38 +184,39 @@
             ],
         ),
         (
-            "a second: handshakes (blue), at the server with most (violet)",
+            "handshakes per second: all servers (blue), server with most (violet)",
             vec![
                 (RGBColor(30, 80, 200), |r| f64::from(r.handshakes)),
                 (RGBColor(150, 30, 170), |r| f64::from(r.handshakes_most)),
             ],
         ),
         (
-            "calls for the list a second (orange), turned away (red)",
+            "calls for the list per second: all (orange), rejected (red)",
             vec![
                 (RGBColor(220, 120, 0), |r| f64::from(r.list_calls)),
                 (RGBColor(200, 30, 30), |r| f64::from(r.list_turned_away)),
             ],
         ),
         (
-            "share of its joint limit that a cold server was under at the most (black; it falls at 1)",
+            "highest load of a cold server, as a share of the load that crashes it (black)",
             vec![(RGBColor(0, 0, 0), |r| r.strain)],
         ),
     ];
-    for (area, (title, lines)) in area.split_evenly((4, 1)).iter().zip(panels) {
-        let most = lines.iter().flat_map(|(_, of)| rows.iter().map(|row| of(row))).fold(1.0, f64::max) * 1.1;
+    for (area, (title, lines)) in area.split_evenly((4, 1)).iter().zip(plots) {
+        let max =
+            lines.iter().flat_map(|(_, value)| rows.iter().map(|row| value(row))).fold(1.0, f64::max) * 1.1;
         let mut chart = ChartBuilder::on(area)
             .margin(8)
             .caption(title, ("sans-serif", 14))
             .x_label_area_size(22)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.0..end, 0.0..most)
-            .map_err(|e| plain(&e))?;
-        chart.configure_mesh().light_line_style(WHITE).draw().map_err(|e| plain(&e))?;
-        for (colour, of) in lines {
-            let points = rows.iter().map(|row| (row.second as f64 + 0.5, of(row)));
-            chart.draw_series(LineSeries::new(points, colour.stroke_width(2))).map_err(|e| plain(&e))?;
+            .build_cartesian_2d(0.0..end, 0.0..max)
+            .map_err(|e| message(&e))?;
+        chart.configure_mesh().light_line_style(WHITE).draw().map_err(|e| message(&e))?;
+        for (colour, value) in lines {
+            let points = rows.iter().map(|row| (row.second as f64 + 0.5, value(row)));
+            chart.draw_series(LineSeries::new(points, colour.stroke_width(2))).map_err(|e| message(&e))?;
         }
     }
-    area.present().map_err(|e| plain(&e))
+    area.present().map_err(|e| message(&e))
 }
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -25,10 +25,10 @@
 use crate::load::{Clients, Load, Tell as FrontTell};
 use crate::port::HeldPort;
 use crate::process::{Note, Process, Said};
-use crate::proxy::{Builder, Link, Proxy, Rule, Tell as ProxyTell};
-use crate::record::{self, Broken, Gathered, Record, Used};
+use crate::proxy::{Builder, Link, Proxy, ProxyCommand, Rule};
+use crate::record::{self, BrokenRule, BrokerUsage, FleetUsage, Record, RunObservations};
 use crate::scenario::{Fault, Scenario};
-use crate::schedule::{Act, Links, Schedule};
+use crate::schedule::{Action, Links, Schedule, StandInCommand};
 use settings::{WINDOW, blocks, classes, placed, setting, settings};
 use wires::Wires;
 
@@ -157,7 +157,7 @@
 /// What falls due for the runner itself.
 #[derive(Clone, Debug, PartialEq)]
 enum Due {
-    Act(Act),
+    Action(Action),
     /// The front learns that a broker is gone.
     Unlist(usize, u32),
     /// A broker that was told to end is looked at.
@@ -192,7 +192,7 @@
     notes: Sender<Note>,
     heard: Receiver<Note>,
     due: Vec<(Duration, Due)>,
-    gathered: Gathered,
+    gathered: RunObservations,
     /// By broker: connections of clients that ask for nothing.
     crowds: Vec<Vec<TcpStream>>,
     cpu_before: f64,
@@ -244,8 +244,8 @@
     }
     let proxy = builder.start()?;
     // Servers of later are not there yet.
-    let later: Vec<usize> = (scenario.servers..scenario.servers + schedule.later.len()).collect();
-    proxy.tell(ProxyTell::Down(wires.choose(&Links::Servers(later), scenario)));
+    let later: Vec<usize> = (scenario.servers..scenario.servers + schedule.added_servers.len()).collect();
+    proxy.send(ProxyCommand::Down(wires.choose(&Links::Servers(later), scenario)));
     let (notes, heard) = mpsc::channel();
     let brokers = (0..scenario.brokers).map(|_| Broker::default()).collect();
     let ports = (0..scenario.brokers).map(|_| Ports::new()).collect::<Result<_, _>>()?;
@@ -263,7 +263,7 @@
         notes,
         heard,
         due: Vec::new(),
-        gathered: Gathered::default(),
+        gathered: RunObservations::default(),
         crowds: (0..scenario.brokers).map(|_| Vec::new()).collect(),
         cpu_before: 0.0,
     };
@@ -293,8 +293,8 @@
         }
         // Whole seconds before the clients start, so that rows of all counts lie on the same seconds.
         self.offset = Duration::from_secs(self.now().as_secs() + 1);
-        for (at, act) in &schedule.acts {
-            self.arm(*at + self.offset, Due::Act(act.clone()));
+        for (at, act) in &schedule.actions {
+            self.arm(*at + self.offset, Due::Action(act.clone()));
         }
         let mut rng = ChaCha8Rng::seed_from_u64(self.scenario.seed ^ 0xc11e);
         // From a half to twice the mean: traffic is spread unevenly.
@@ -317,7 +317,7 @@
             clients.tell(FrontTell::Front(n, broker.address));
         }
         self.clients = Some(clients);
-        let ends = schedule.ends() + self.offset;
+        let ends = schedule.end() + self.offset;
         let asked = |fleet: &Self| fleet.clients.as_ref().is_some_and(|clients| !clients.are_done());
         while self.now() < ends || asked(self) || !self.is_settled() {
             self.turn()?;
@@ -327,16 +327,16 @@
         self.brokers.iter_mut().for_each(|broker| broker.process = None);
         let rough: Vec<(Duration, Duration)> = self.scenario.events.iter().filter_map(rough).collect();
         let ledger = self.world.ledger();
-        let broken = record::breaches(&ledger, &seen, &self.gathered, schedule, self.offset, &rough);
+        let broken = record::violations(&ledger, &seen, &self.gathered, schedule, self.offset, &rough);
         let rows = record::rows(&ledger, &seen, &self.gathered, self.offset.as_secs());
-        let fault_at = schedule.acts.first().map(|(at, _)| at.as_secs_f64());
+        let fault_at = schedule.actions.first().map(|(at, _)| at.as_secs_f64());
         let (steady, full_service_s) = record::full_service(&rows, fault_at, self.options.hold);
         let asked: u32 = rows.iter().map(|row| row.offered).sum();
         let parts: u32 = rows.iter().map(|row| row.parts).sum();
         let ms = |quantile: f64| seen.times.value_at_quantile(quantile) as f64 / 1e3;
         let at = |at: Duration| at.as_secs_f64() - self.offset.as_secs_f64();
         let broken = broken.into_iter();
-        let used = |broker: &Broker| Used {
+        let used = |broker: &Broker| BrokerUsage {
             starts: broker.starts,
             cpu: broker.cpu[0] + broker.cpu[1],
             memory_mb: broker.memory_mb,
@@ -355,10 +355,10 @@
             attempts_per_part: f64::from(parts) / (f64::from(asked.max(1)) * self.scenario.parts as f64),
             repeated: ledger.reruns_in_window,
             used: self.brokers.iter().map(used).collect(),
-            upgrades: record::upgrades(&self.gathered, self.offset),
-            drains: record::drains(&self.gathered, self.offset),
+            upgrades: record::upgrade_records(&self.gathered, self.offset),
+            drains: record::drain_records(&self.gathered, self.offset),
             broken: broken
-                .map(|b| Broken { at: at(b.at), rule: format!("{:?}", b.rule), what: b.details })
+                .map(|b| BrokenRule { at: at(b.at), rule: format!("{:?}", b.rule), what: b.details })
                 .collect(),
             rows,
         };
@@ -386,7 +386,7 @@
 
     fn falls_due(&mut self, what: Due) -> io::Result<()> {
         match what {
-            Due::Act(act) => self.act(act)?,
+            Due::Action(act) => self.act(act)?,
             Due::Unlist(broker, run) => {
                 if self.brokers[broker].run == run {
                     self.list(broker, None);
@@ -427,18 +427,20 @@
         Ok(())
     }
 
-    fn act(&mut self, act: Act) -> io::Result<()> {
+    fn act(&mut self, act: Action) -> io::Result<()> {
         match act {
-            Act::Kill(broker) => {
+            Action::Kill(broker) => {
                 (self.brokers[broker].ends, self.brokers[broker].killed) = (true, true);
                 self.signal(broker, Signal::KILL);
                 let run = self.brokers[broker].run;
                 self.arm(self.now() + NOTICED, Due::Unlist(broker, run));
             }
             // Its old process may not be reaped yet: it is started once it is.
-            Act::Start(broker) if self.brokers[broker].process.is_some() => self.brokers[broker].again = true,
-            Act::Start(broker) => self.start(broker)?,
-            Act::Restart(broker) => {
+            Action::Start(broker) if self.brokers[broker].process.is_some() => {
+                self.brokers[broker].again = true
+            }
+            Action::Start(broker) => self.start(broker)?,
+            Action::Restart(broker) => {
                 let ends_in =
                     if self.scenario.kills_early { upgrade::kill_after(self.scenario) } else { STOPS_IN };
                 let state = &mut self.brokers[broker];
@@ -451,50 +453,50 @@
                     self.arm(self.now() + ends_in, Due::Hangs(broker, run));
                 }
             }
-            Act::Hup(broker) => self.signal(broker, Signal::HUP),
-            Act::CrowdComes(broker, clients) => {
+            Action::Hup(broker) => self.signal(broker, Signal::HUP),
+            Action::CrowdComes(broker, clients) => {
                 let address = self.ports[broker].clients.address();
                 self.crowds[broker] = crowd::gather(address, clients);
             }
-            Act::CrowdLeaves(broker) => self.crowds[broker].clear(),
-            Act::Upgrade(broker) => self.upgrade(broker)?,
-            Act::StartDrain(broker) => self.start_drain(broker),
-            Act::StopDrain(broker) => self.stop_drain(broker),
-            Act::Pause(broker) => self.signal(broker, Signal::STOP),
-            Act::Resume(broker) => self.signal(broker, Signal::CONT),
-            Act::DelayWrites(broker, delay) => self.delay_writes(broker, delay)?,
-            Act::Cut(broker) => {
+            Action::CrowdLeaves(broker) => self.crowds[broker].clear(),
+            Action::Upgrade(broker) => self.upgrade(broker)?,
+            Action::StartDrain(broker) => self.start_drain(broker),
+            Action::StopDrain(broker) => self.stop_drain(broker),
+            Action::Pause(broker) => self.signal(broker, Signal::STOP),
+            Action::Resume(broker) => self.signal(broker, Signal::CONT),
+            Action::DelayWrites(broker, delay) => self.delay_writes(broker, delay)?,
+            Action::Cut(broker) => {
                 let path = self.file(broker, "state");
                 if path.exists() {
                     let file = fs::File::options().write(true).open(&path)?;
                     file.set_len(file.metadata()?.len() / 2)?;
                 }
             }
-            Act::Wipe(broker) => {
+            Action::Wipe(broker) => {
                 let path = self.file(broker, "state");
                 if path.exists() {
                     fs::remove_file(path)?;
                 }
             }
-            Act::Reload(broker) => {
+            Action::Reload(broker) => {
                 self.brokers[broker].moved = true;
                 self.configure(broker)?;
                 self.signal(broker, Signal::HUP);
             }
-            Act::World(WorldCommand::RejectCallsUntil(until)) => {
+            Action::World(StandInCommand(WorldCommand::RejectCallsUntil(until))) => {
                 self.world.send(WorldCommand::RejectCallsUntil(until + self.offset));
             }
-            Act::World(WorldCommand::StallDiscoveryUntil(until)) => {
+            Action::World(StandInCommand(WorldCommand::StallDiscoveryUntil(until))) => {
                 self.world.send(WorldCommand::StallDiscoveryUntil(until + self.offset));
             }
-            Act::World(tell) => self.world.send(tell),
-            Act::Server(server, up) => {
+            Action::World(StandInCommand(command)) => self.world.send(command),
+            Action::Server(server, up) => {
                 let links = self.wires.choose(&Links::Servers(vec![server]), self.scenario);
-                self.proxy.tell(if up { ProxyTell::Up(links) } else { ProxyTell::Down(links) });
+                self.proxy.send(if up { ProxyCommand::Up(links) } else { ProxyCommand::Down(links) });
             }
-            Act::Links(links, rule) => self.set_links(&links, rule),
-            Act::ResetLinks(links) => {
-                self.proxy.tell(ProxyTell::Reset(self.wires.choose(&links, self.scenario)));
+            Action::Links(links, rule) => self.set_links(&links, rule),
+            Action::ResetLinks(links) => {
+                self.proxy.send(ProxyCommand::Reset(self.wires.choose(&links, self.scenario)));
             }
         }
         Ok(())
@@ -511,7 +513,7 @@
     }
 
     fn set_links(&self, links: &Links, rule: Rule) {
-        self.proxy.tell(ProxyTell::Set(self.wires.choose(links, self.scenario), rule));
+        self.proxy.send(ProxyCommand::SetRule(self.wires.choose(links, self.scenario), rule));
     }
 
     fn signal(&self, broker: usize, signal: Signal) {
@@ -695,7 +697,8 @@
             cpu += broker.cpu[0] + broker.cpu[1] + broker.old.as_ref().map_or(0.0, |old| old.cpu);
         }
         let second = self.now().as_secs().saturating_sub(1);
-        self.gathered.uses.insert(second, ((cpu - self.cpu_before).max(0.0), memory));
+        let cpu_used = (cpu - self.cpu_before).max(0.0);
+        self.gathered.usage.insert(second, FleetUsage { cpu: cpu_used, memory_mb: memory });
         self.cpu_before = cpu;
     }
 }
@@ -703,8 +706,10 @@
 /// The span in which an event's faults may cut frames.
 fn rough(event: &crate::scenario::Event) -> Option<(Duration, Duration)> {
     match &event.fault {
-        Fault::Network { reset, lasts, .. } if *reset > 0.0 => Some((event.at, event.at + *lasts)),
-        Fault::LoseZone { lasts, .. } | Fault::Partition { lasts, .. } => Some((event.at, event.at + *lasts)),
+        Fault::Network { reset, duration, .. } if *reset > 0.0 => Some((event.at, event.at + *duration)),
+        Fault::LoseZone { duration, .. } | Fault::Partition { duration, .. } => {
+            Some((event.at, event.at + *duration))
+        }
         _ => None,
     }
 }
--- a/crates/fleet/src/run/drain.rs
+++ b/crates/fleet/src/run/drain.rs
@@ -6,8 +6,8 @@
 
 use super::{ASK_AGAIN, Due, Fleet, NOTICED};
 use crate::control;
-use crate::record::Drain;
-use crate::scenario::DRAINED_WITHIN;
+use crate::record::ObservedDrain;
+use crate::scenario::DRAIN_TIME_LIMIT;
 
 /// Once its clients have left, none has sent a request for so long.
 const UNUSED_FOR: Duration = Duration::from_secs(2);
@@ -25,9 +25,9 @@
             self.break_rule(Rule::NotDrained, format!("b{broker} says in its drain that it is up"));
         }
         let run = self.brokers[broker].run;
-        self.gathered.drains.push(Drain { broker, began, ..Drain::default() });
+        self.gathered.drains.push(ObservedDrain { broker, began, ..ObservedDrain::default() });
         self.arm(began + NOTICED, Due::Unlist(broker, run));
-        self.arm(began + DRAINED_WITHIN, Due::CheckDrain(self.gathered.drains.len() - 1));
+        self.arm(began + DRAIN_TIME_LIMIT, Due::CheckDrain(self.gathered.drains.len() - 1));
     }
 
     /// Looks at what clients hold of a broker that should be rid of them.
@@ -42,13 +42,15 @@
         let record = &mut self.gathered.drains[drain];
         (record.idle, record.unused) = (held.idle, unused);
         if held.idle > 0 {
-            let what =
-                format!("{} connections of b{broker} were idle {DRAINED_WITHIN:?} into its drain", held.idle);
+            let what = format!(
+                "{} connections of b{broker} were idle {DRAIN_TIME_LIMIT:?} into its drain",
+                held.idle
+            );
             self.break_rule(Rule::NotDrained, what);
         }
         if let Some(unused) = unused.filter(|unused| *unused < UNUSED_FOR) {
             let what =
-                format!("b{broker} was sent a request {unused:?} before {DRAINED_WITHIN:?} into its drain");
+                format!("b{broker} was sent a request {unused:?} before {DRAIN_TIME_LIMIT:?} into its drain");
             self.break_rule(Rule::NotDrained, what);
         }
     }
@@ -71,7 +73,7 @@
 
     /// Asks a broker whose drain is over whether it is up, until it is or its time is over.
     pub(super) fn ask_back(&mut self, drain: usize) {
-        let Drain { broker, stopped, .. } = self.gathered.drains[drain];
+        let ObservedDrain { broker, stopped, .. } = self.gathered.drains[drain];
         let Some(address) = self.brokers[broker].address else { return };
         let up = control::is_up(address);
         let now = self.now();
--- a/crates/fleet/src/run/settings.rs
+++ b/crates/fleet/src/run/settings.rs
@@ -55,7 +55,7 @@
         .map(|(class, credit)| {
             json!({"name": class.name, "effect": class.effect, "credit": credit,
                 "lateShare": 0.3, "aimNs": class.aim.as_nanos() as u64,
-                "deadlineNs": class.deadline.as_nanos() as u64, "windowNs": scenario.window.as_nanos() as u64})
+                "deadlineNs": class.deadline.as_nanos() as u64, "windowNs": scenario.idempotency_window.as_nanos() as u64})
         })
         .collect();
     let zones: Vec<String> = (0..scenario.zones).map(|zone| format!("z{zone}")).collect();
@@ -68,7 +68,7 @@
         "limits": {"cancel": true, "maxAttempts": 4, "maxOpen": 4000, "maxRetryAfterNs": 2_000_000_000_u64,
             "maxStreams": 100, "mayProbe": false, "retryAfter": true, "secondCopies": false, "peers": true},
         "prices": {"handshake": 0.001, "peer": 0.01},
-        "safety": {"drainGraceNs": ledger::DRAIN_GRACE.as_nanos() as u64, "coldFrom": scenario.tile.cold_from, "coldNs": scenario.tile.cold_for.as_nanos() as u64,
+        "safety": {"drainGraceNs": ledger::DRAIN_GRACE.as_nanos() as u64, "coldFrom": scenario.tile.cold_from, "coldNs": scenario.tile.warm_up_time.as_nanos() as u64,
             "fallMultiple": scenario.tile.fall_multiple, "overloadForNs": 1_000_000_000}})
 }
 
@@ -86,17 +86,17 @@
 /// What the stand-ins are told of the fleet.
 pub fn setting(scenario: &Scenario, options: &Options, schedule: &Schedule) -> WorldConfig {
     let first = (0..scenario.servers).map(|server| (server, server % scenario.cells, true));
-    let later = schedule.later.iter().enumerate();
+    let later = schedule.added_servers.iter().enumerate();
     let later = later.map(|(n, cell)| (scenario.servers + n, *cell, false));
     let placed = first.chain(later).map(|(server, cell, up)| placed(scenario, server, cell, up));
     WorldConfig {
         parameters: ServerParameters {
             workers: scenario.tile.workers,
-            mean_service_time: scenario.tile.service,
-            queue_limit: scenario.tile.queue,
-            max_connections: scenario.tile.connections,
+            mean_service_time: scenario.tile.mean_service_time,
+            queue_limit: scenario.tile.queue_limit,
+            max_connections: scenario.tile.max_connections,
             cold_from: scenario.tile.cold_from,
-            warm_up_time: scenario.tile.cold_for,
+            warm_up_time: scenario.tile.warm_up_time,
             fall_multiple: scenario.tile.fall_multiple,
             load_window: Duration::from_secs(1),
             restart_delay: Duration::from_secs(1),
@@ -105,7 +105,7 @@
         brokers: scenario.brokers,
         cells: scenario.cells as u32,
         width: scenario.width as u32,
-        idempotency_window: options.window.min(scenario.window),
+        idempotency_window: options.window.min(scenario.idempotency_window),
         read_lag: scenario.tile.read_lag,
         pushed: !scenario.on_request,
         indented: scenario.indented,
--- a/crates/fleet/src/run/upgrade.rs
+++ b/crates/fleet/src/run/upgrade.rs
@@ -10,7 +10,7 @@
 use super::{ASK_AGAIN, Due, Fleet};
 use crate::control;
 use crate::process::Process;
-use crate::record::Upgrade;
+use crate::record::ObservedUpgrade;
 use crate::scenario::Scenario;
 
 /// The old process has at the least so long after SIGTERM, and `KILL_MARGIN` more.
@@ -77,7 +77,13 @@
         let process = self.spawn(broker, run, control)?;
         let old_run = self.brokers[broker].run;
         self.brokers[broker].next = Some(Next { process, run, control, began });
-        self.gathered.upgrades.push(Upgrade { broker, began, old_run, run, ..Upgrade::default() });
+        self.gathered.upgrades.push(ObservedUpgrade {
+            broker,
+            began,
+            old_run,
+            run,
+            ..ObservedUpgrade::default()
+        });
         self.arm(began + ASK_AGAIN, Due::AskReady(broker));
         Ok(())
     }
@@ -148,7 +154,7 @@
         Ok(())
     }
 
-    fn note_upgrade(&mut self, broker: usize, run: u32, note: impl FnOnce(&mut Upgrade)) {
+    fn note_upgrade(&mut self, broker: usize, run: u32, note: impl FnOnce(&mut ObservedUpgrade)) {
         let mut upgrades = self.gathered.upgrades.iter_mut();
         if let Some(upgrade) = upgrades.find(|upgrade| upgrade.broker == broker && upgrade.run == run) {
             note(upgrade);
@@ -158,6 +164,6 @@
     /// Notes a rule that the harness itself saw broken.
     pub(super) fn break_rule(&mut self, rule: Rule, what: String) {
         let at = self.now();
-        self.gathered.broken.push(Violation { at, rule, details: what });
+        self.gathered.violations.push(Violation { at, rule, details: what });
     }
 }
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -1,5 +1,5 @@
-//! A scenario as an operator writes it: the fleet, its load, and a timeline of faults. Checked as a whole: each
-//! fault of the file is named with its line and key.
+//! Scenarios as operators write them: the fleet, its load, and a timeline of faults. The whole file is checked, and every
+//! error is reported with its line and key.
 
 mod checks;
 mod file;
@@ -9,186 +9,199 @@
 
 use serde::Deserialize;
 
-/// A broker that drains has so long to be rid of its clients' connections.
-pub const DRAINED_WITHIN: Duration = Duration::from_secs(4);
+/// Time limit for a draining broker to close its clients' connections.
+pub const DRAIN_TIME_LIMIT: Duration = Duration::from_secs(4);
 
-/// What is wrong with a scenario, and where.
+/// An error in a scenario file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ScenarioFault {
+pub struct ScenarioError {
     /// The file and the line.
-    pub place: String,
-    /// The key; empty where the whole is at fault.
+    pub location: String,
+    /// The key; empty if the file can't be parsed.
     pub key: String,
     /// What is wrong.
-    pub fault: String,
+    pub problem: String,
 }
 
-impl fmt::Display for ScenarioFault {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.key.as_str() {
-            "" => write!(f, "{}: {}", self.place, self.fault),
-            key => write!(f, "{}: {key}: {}", self.place, self.fault),
+            "" => write!(f, "{}: {}", self.location, self.problem),
+            key => write!(f, "{}: {key}: {}", self.location, self.problem),
         }
     }
 }
 
-impl std::error::Error for ScenarioFault {}
+impl std::error::Error for ScenarioError {}
 
-/// A scenario.
+/// A scenario. Fields are named after the keys of the file where they hold the same value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Broker processes.
+    /// Number of broker processes.
     pub brokers: usize,
-    /// Tile servers that are up at the start.
+    /// Number of tile servers at the start.
     pub servers: usize,
-    /// Zones; servers and brokers are spread over them in turn.
+    /// Number of zones; servers and brokers are assigned to them round-robin.
     pub zones: usize,
-    /// Holders of each tile block, by cell: servers `n`, `n + cells` and so on are of cell `n`.
+    /// Number of cells: servers `n`, `n + cells` and so on belong to cell `n`.
     pub cells: usize,
-    /// Cells that hold a tile block.
+    /// Number of cells that hold each tile block.
     pub width: usize,
-    /// Queries a second and broker, on the mean; some brokers get twice that, some half.
+    /// Mean queries per second and broker. The brokers' rates differ, from half to twice that.
     pub rate: f64,
-    /// Parts of a query.
+    /// Parts per query.
     pub parts: usize,
-    /// How long clients ask.
+    /// How long clients send queries, in seconds.
     pub seconds: u64,
-    /// For everything that is drawn.
+    /// Seed of everything random.
     pub seed: u64,
-    /// What each server can do.
-    pub tile: Tile,
-    /// Whether the list comes only to who asks for it.
+    /// Parameters of the tile servers.
+    pub tile: TileServerParameters,
+    /// Whether brokers have to request the server list; otherwise discovery pushes it.
     pub on_request: bool,
-    /// Whether lists come indented, in small chunks.
+    /// Whether discovery sends its lists indented, in small chunks.
     pub indented: bool,
-    /// Whether brokers have a store that lasts.
+    /// Whether brokers have a persistent store.
     pub store: bool,
-    /// Whether clients keep their connections for further requests.
+    /// Whether clients reuse connections for further requests.
     pub pooled: bool,
-    /// Share of the queries that are of an unsafe class: what has run may not run again.
+    /// Share of the queries that belong to an unsafe class, whose parts must not run twice.
     pub unsafe_share: f64,
-    /// Share of the queries whose clients leave before they are answered, write slowly, or stop in mid-request.
+    /// Share of the queries whose clients disconnect before the answer, write slowly, or stop in the middle of a
+    /// request.
     pub unruly: f64,
-    /// The window in which servers drop a repeat of a keyed query.
-    pub window: Duration,
-    /// A broker that was told to end is killed as early as the platform may; else it is held for hanging after a while.
+    /// Window in which servers drop a duplicate of a keyed query.
+    pub idempotency_window: Duration,
+    /// Whether a broker that was told to end is killed as early as the platform may kill it; otherwise it gets longer,
+    /// and counts as hung if it has not ended by then.
     pub kills_early: bool,
-    /// The timeline, in the file's order.
+    /// The timeline, in the order of the file.
     pub events: Vec<Event>,
 }
 
-/// What a server can do.
+/// Parameters of each tile server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Tile {
-    /// Parts it works on at once.
+pub struct TileServerParameters {
+    /// Parts processed at once.
     pub workers: usize,
-    /// Mean time of a part.
-    pub service: Duration,
-    /// Parts that may wait.
-    pub queue: usize,
-    /// Connections it holds.
-    pub connections: usize,
-    /// How long it takes to become warm.
-    pub cold_for: Duration,
-    /// Its speed when it has just started, as a share of a warm one's.
+    /// Mean processing time of a part on a warm server.
+    pub mean_service_time: Duration,
+    /// Most parts that wait for a worker.
+    pub queue_limit: usize,
+    /// Most open connections.
+    pub max_connections: usize,
+    /// Time from a server's start until it is warm.
+    pub warm_up_time: Duration,
+    /// Speed right after the start, as a share of a warm server's.
     pub cold_from: f64,
-    /// A cold one falls over under so many times the work that it can do.
+    /// A cold server crashes when it gets this multiple of the work that it can do.
     pub fall_multiple: f64,
-    /// How late it may read a connection.
+    /// Longest delay before it reads from a connection.
     pub read_lag: Duration,
 }
 
-/// Something that happens at a time.
+/// An event of the timeline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// When, from the clients' start.
+    /// Time since the clients' start.
     pub at: Duration,
-    /// What.
+    /// What happens.
     pub fault: Fault,
 }
 
-/// What may happen. The fields are the keys of the file, times as spans.
-#[allow(missing_docs)] // Each variant says what its fields mean.
+/// What an event does. Variants are named after the keys of the file. `share` is a share of all brokers or servers,
+/// `interval` the time between two of them, and `duration` the time until the fault is removed.
+#[allow(missing_docs)] // The variants' comments describe their fields.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// So many of the brokers are killed at once, and started again so much later.
-    Kill { share: f64, back: Duration },
-    /// All brokers are restarted by SIGTERM, so many of them at a time, each group so long after the one before.
-    Roll { share: f64, every: Duration },
-    /// Brokers are upgraded one after the other, each so long after the one before: a second process takes over from
-    /// the running one.
-    Upgrade { brokers: Brokers, every: Duration },
-    /// Brokers are drained, each so long after the one before, and taken back.
-    Drain { brokers: Brokers, every: Duration, lasts: Duration },
-    /// So many of the brokers are stopped for a while (SIGSTOP, SIGCONT).
-    Pause { share: f64, lasts: Duration },
-    /// So many of the brokers are held up for a moment right before some of the writes that give a part up: before
-    /// each `every`-th of them, by so long, as a busy machine may do between a clock's reading and a system call.
-    Hold { share: f64, by: Duration, every: u64, lasts: Duration },
-    /// So many of the brokers' stores are wiped or cut to half their length, where they have one; brokers that run
-    /// keep theirs open, so it is for those that were killed.
-    Stores { share: f64, cut: bool },
-    /// Discovery moves: brokers get a new file and SIGHUP.
+    /// Kills brokers at the same time, and starts them again `restart_delay` later.
+    Kill { share: f64, restart_delay: Duration },
+    /// Restarts all brokers by SIGTERM, in groups of `share` of them.
+    Roll { share: f64, interval: Duration },
+    /// Upgrades brokers one after the other: a second process takes over from the running one.
+    Upgrade { brokers: Brokers, interval: Duration },
+    /// Drains brokers, one after the other; each takes clients again after `duration`.
+    Drain { brokers: Brokers, interval: Duration, duration: Duration },
+    /// Pauses brokers (SIGSTOP, SIGCONT).
+    Pause { share: f64, duration: Duration },
+    /// Delays brokers right before every n-th of the writes that withdraw a part, as a busy machine may do between
+    /// the reading of a clock and a system call.
+    Hold { share: f64, delay: Duration, every_nth: u64, duration: Duration },
+    /// Wipes the brokers' stores or truncates them to half their length, where they have one. A running broker keeps its
+    /// store open, so this is meant for brokers that were killed.
+    Stores { share: f64, truncate: bool },
+    /// Moves discovery to another address: brokers get a new configuration file and SIGHUP.
     Reload,
-    /// So many of the brokers get these signals, each so long after the one before. After a SIGTERM they are started again
-    /// once they have ended.
-    Signals { share: f64, series: Vec<Signal>, every: Duration },
-    /// So many of the brokers are connected to by clients that ask for nothing, so many each.
-    Crowd { share: f64, clients: usize, lasts: Duration },
-    /// A zone's servers are gone without a word for a while, and come back cold.
-    LoseZone { zone: usize, lasts: Duration },
-    /// A zone is cut off: its brokers and servers reach those of no other zone, nor these them. `one_way`: what
-    /// brokers send across still arrives, and nothing comes back.
-    Partition { zone: usize, one_way: bool, lasts: Duration },
-    /// So many of the servers are replaced by new ones, one after the other.
+    /// Sends brokers these signals, `interval` apart. After a SIGTERM a broker is started again once it has ended.
+    Signals { share: f64, signals: Vec<Signal>, interval: Duration },
+    /// Opens `clients` connections to each of the brokers, on which no request is sent.
+    Crowd { share: f64, clients: usize, duration: Duration },
+    /// Makes a zone's servers unreachable, without closing connections; they come back cold.
+    LoseZone { zone: usize, duration: Duration },
+    /// Separates a zone's brokers and servers from those of the other zones. With `one_way`, what brokers send across
+    /// still arrives, but nothing comes back.
+    Partition { zone: usize, one_way: bool, duration: Duration },
+    /// Replaces servers by new ones, one after the other, all `within` this time.
     Replace { share: f64, within: Duration },
-    /// So many of the servers do something else with parts for a while.
-    Servers { share: f64, manner: Manner, lasts: Duration },
-    /// What discovery has to say comes late for a while.
-    Late { by: Duration, lasts: Duration },
-    /// Discovery turns callers away for a while.
-    TurnAway { lasts: Duration },
-    /// Discovery answers no call for a while, and the watches that are open fall silent for good.
-    Silence { lasts: Duration },
-    /// All links do so for a while.
-    Network { delay: Duration, jitter: Duration, loss: f64, reset: f64, rate: Option<u64>, lasts: Duration },
+    /// Changes how servers handle parts.
+    Servers { share: f64, behaviour: ServerBehaviour, duration: Duration },
+    /// Delays discovery's list updates.
+    Late { delay: Duration, duration: Duration },
+    /// Makes discovery reject calls.
+    TurnAway { duration: Duration },
+    /// Makes discovery answer no call; the watches that are open receive nothing, even afterwards.
+    Silence { duration: Duration },
+    /// Sets delays, losses, resets and the rate (bytes per second) of all links.
+    Network {
+        delay: Duration,
+        jitter: Duration,
+        loss: f64,
+        reset: f64,
+        rate: Option<u64>,
+        duration: Duration,
+    },
 }
 
-/// A choice of brokers.
+/// A selection of brokers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Brokers {
-    /// This one.
+    /// The broker with this index.
     One(usize),
-    /// So many of all, in drawn order.
+    /// This share of all brokers, in random order.
     Share(f64),
 }
 
-/// A signal that an operator sends.
+/// A signal that operators send to brokers.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Signal {
-    /// SIGHUP, with the configuration as it stands.
+    /// SIGHUP, with the configuration unchanged.
     Hup,
     /// SIGTERM.
     Term,
 }
 
-/// What a server may be made to do with parts.
+/// How a faulty server handles parts.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Manner {
-    /// It answers each with an error.
-    Break,
-    /// It turns each away.
-    TurnAway,
-    /// It answers none.
-    Swallow,
-    /// It closes the connection on each.
-    Hang,
-    /// It takes ten times as long.
+pub enum ServerBehaviour {
+    /// Answers every part with an error.
+    #[serde(rename = "break")]
+    Fail,
+    /// Rejects every part without processing it.
+    #[serde(rename = "turn_away")]
+    Reject,
+    /// Accepts every part and answers none.
+    #[serde(rename = "swallow")]
+    Ignore,
+    /// Closes the connection on receiving a part.
+    #[serde(rename = "hang")]
+    CloseConnection,
+    /// Takes ten times as long for every part.
     Slow,
-    /// Its answers can't be read.
-    Spoil,
+    /// Responds with frames that can't be parsed.
+    #[serde(rename = "spoil")]
+    CorruptResponse,
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/scenario/checks.rs
+++ b/crates/fleet/src/scenario/checks.rs
@@ -1,90 +1,97 @@
-//! Bounds on what a scenario's file says; what is out of them is gathered by line and key.
+//! Range checks of a scenario file's values. Errors are collected with their line and key.
 
 use std::time::Duration;
 
 use serde_saphyr::Spanned;
 
-use super::file::OfBrokers;
-use super::{Brokers, DRAINED_WITHIN, ScenarioFault};
+use super::file::BrokerSelection;
+use super::{Brokers, DRAIN_TIME_LIMIT, ScenarioError};
 
-/// Gathers what is wrong, by line and key.
+/// Checks values and collects the errors. A value that is out of range is reported and replaced by one in range, so that
+/// the rest of the file is checked too.
 pub(super) struct Checks<'a> {
-    pub(super) place: &'a str,
-    pub(super) faults: Vec<ScenarioFault>,
+    pub(super) file: &'a str,
+    pub(super) errors: Vec<ScenarioError>,
 }
 
 impl Checks<'_> {
-    pub(super) fn fault(&mut self, line: u64, key: &str, fault: String) {
-        let place = format!("{}: line {line}", self.place);
-        self.faults.push(ScenarioFault { place, key: key.to_owned(), fault });
+    pub(super) fn error(&mut self, line: u64, key: &str, problem: String) {
+        let location = format!("{}: line {line}", self.file);
+        self.errors.push(ScenarioError { location, key: key.to_owned(), problem });
     }
 
-    pub(super) fn count(&mut self, key: &str, value: &Spanned<u64>, least: u64, most: u64) -> usize {
-        if !(least..=most).contains(&value.value) {
-            self.fault(value.referenced.line(), key, format!("must be {least} to {most}"));
+    pub(super) fn count(&mut self, key: &str, value: &Spanned<u64>, min: u64, max: u64) -> usize {
+        if !(min..=max).contains(&value.value) {
+            self.error(value.referenced.line(), key, format!("must be {min} to {max}"));
         }
-        value.value.clamp(least, most) as usize
+        value.value.clamp(min, max) as usize
     }
 
-    pub(super) fn figure(&mut self, key: &str, value: &Spanned<f64>, least: f64, most: f64) -> f64 {
-        if !(least..=most).contains(&value.value) {
-            self.fault(value.referenced.line(), key, format!("must be {least} to {most}"));
+    pub(super) fn number(&mut self, key: &str, value: &Spanned<f64>, min: f64, max: f64) -> f64 {
+        if !(min..=max).contains(&value.value) {
+            self.error(value.referenced.line(), key, format!("must be {min} to {max}"));
         }
-        if value.value.is_finite() { value.value.clamp(least, most) } else { least }
+        if value.value.is_finite() { value.value.clamp(min, max) } else { min }
     }
 
     pub(super) fn seconds(&mut self, key: &str, value: &Spanned<f64>) -> Duration {
-        Duration::from_secs_f64(self.figure(key, value, 0.0, 3600.0))
+        Duration::from_secs_f64(self.number(key, value, 0.0, 3600.0))
     }
 
-    /// How long a drain lasts: longer than its brokers have to be rid of their clients.
-    pub(super) fn drain_time(&mut self, key: &str, line: u64, value: Option<&Spanned<f64>>) -> Duration {
-        let lasts = self.needed(key, line, value);
+    /// A drain's duration. It has to exceed the time limit for closing the clients' connections, which is checked
+    /// during the drain.
+    pub(super) fn drain_duration(&mut self, key: &str, line: u64, value: Option<&Spanned<f64>>) -> Duration {
+        let duration = self.required_seconds(key, line, value);
         if let Some(value) = value
-            && lasts <= DRAINED_WITHIN
+            && duration <= DRAIN_TIME_LIMIT
         {
-            let fault = format!("must be over {}", DRAINED_WITHIN.as_secs());
-            self.fault(value.referenced.line(), key, fault);
+            let problem = format!("must be over {}", DRAIN_TIME_LIMIT.as_secs());
+            self.error(value.referenced.line(), key, problem);
         }
-        lasts
+        duration
     }
 
-    /// The brokers that an event names, and the time between two. `among` is how many there are.
+    /// The brokers that an event selects out of `count`, and the time between two of them.
     pub(super) fn brokers(
         &mut self,
         key: &str,
         line: u64,
-        event: &OfBrokers,
-        among: usize,
+        event: &BrokerSelection,
+        count: usize,
     ) -> (Brokers, Duration) {
-        let of = |name: &str| format!("{key}.{name}");
-        let every = event.every_s.as_ref();
+        let subkey = |name: &str| format!("{key}.{name}");
+        let interval = event.every_s.as_ref();
         match (&event.broker, &event.share) {
             (Some(broker), None) => {
-                if let Some(every) = every {
-                    let fault = "one broker has no time between two".to_owned();
-                    self.fault(every.referenced.line(), &of("every_s"), fault);
+                if let Some(interval) = interval {
+                    let problem = "must not be set for a single broker".to_owned();
+                    self.error(interval.referenced.line(), &subkey("every_s"), problem);
                 }
-                let broker = self.count(&of("broker"), broker, 0, among as u64 - 1);
+                let broker = self.count(&subkey("broker"), broker, 0, count as u64 - 1);
                 (Brokers::One(broker), Duration::ZERO)
             }
             (None, Some(share)) => {
-                let share = self.figure(&of("share"), share, 0.01, 1.0);
-                (Brokers::Share(share), self.needed(&of("every_s"), line, every))
+                let share = self.number(&subkey("share"), share, 0.01, 1.0);
+                (Brokers::Share(share), self.required_seconds(&subkey("every_s"), line, interval))
             }
             _ => {
-                self.fault(line, key, "must name either `broker` or `share`".to_owned());
+                self.error(line, key, "must set either `broker` or `share`".to_owned());
                 (Brokers::One(0), Duration::ZERO)
             }
         }
     }
 
-    /// A time that has to be there.
-    pub(super) fn needed(&mut self, key: &str, line: u64, value: Option<&Spanned<f64>>) -> Duration {
+    /// A required number of seconds.
+    pub(super) fn required_seconds(
+        &mut self,
+        key: &str,
+        line: u64,
+        value: Option<&Spanned<f64>>,
+    ) -> Duration {
         match value {
             Some(value) => self.seconds(key, value),
             None => {
-                self.fault(line, key, "is missing".to_owned());
+                self.error(line, key, "is missing".to_owned());
                 Duration::ZERO
             }
         }
--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -1,76 +1,140 @@
-//! What happens when, to whom: a scenario and its seed made into single acts. No I/O; the same seed gives the same
-//! acts.
+//! The schedule of a run: a scenario's events expanded into single actions, in time order. No I/O; the same scenario and
+//! seed give the same actions.
 
+use std::fmt;
 use std::time::Duration;
 
 use badgergauge_standin::model;
-use badgergauge_standin::world::{ListedState, WorldCommand as World};
+use badgergauge_standin::world::{ListedState, WorldCommand};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use crate::proxy::Rule;
-use crate::scenario::{Brokers, Fault, Manner, Scenario, Signal};
+use crate::scenario::{Brokers, Fault, Scenario, ServerBehaviour, Signal};
 
-/// How long a server that is replaced drains before its process ends.
-pub const DRAINS: Duration = Duration::from_millis(1500);
+/// Time for which a server that is being replaced is listed as draining before it is removed from the list; its
+/// process ends after the same time again.
+pub const SERVER_DRAIN_TIME: Duration = Duration::from_millis(1500);
 
-/// A single act.
+/// A single action of the runner. Brokers and servers are given by index. `fleet check` prints the `Debug` output, so
+/// variants keep their names.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    /// A broker's process is killed.
+pub enum Action {
+    /// Kills a broker's process with SIGKILL.
     Kill(usize),
-    /// It is started again.
+    /// Starts a broker again.
     Start(usize),
-    /// It is told to end, and started again once it has.
+    /// Sends a broker SIGTERM, and starts it again once it has ended.
     Restart(usize),
-    /// A second process of it is started, and takes over from the running one.
+    /// Starts a second process of a broker, which takes over from the running one.
     Upgrade(usize),
-    /// It is told to drain.
+    /// Tells a broker to drain.
     StartDrain(usize),
-    /// It is told to take clients again.
+    /// Tells a broker to accept clients again.
     StopDrain(usize),
-    /// It is stopped where it stands.
+    /// Stops a broker's process with SIGSTOP.
     Pause(usize),
-    /// It goes on.
+    /// Continues a broker's process with SIGCONT.
     Resume(usize),
-    /// It is held up before some of its writes from now on, or before none any more.
+    /// Delays some of a broker's writes from now on; `None` ends that.
     DelayWrites(usize, Option<WriteDelay>),
-    /// Its store is wiped.
+    /// Wipes a broker's store.
     Wipe(usize),
-    /// Its store is cut to half its length.
+    /// Truncates a broker's store to half its length.
     Cut(usize),
-    /// It gets a file that moves discovery, and SIGHUP.
+    /// Writes a broker a configuration with another discovery address, and sends it SIGHUP.
     Reload(usize),
-    /// It gets SIGHUP, with its configuration as it stands.
+    /// Sends a broker SIGHUP, with its configuration unchanged.
     Hup(usize),
-    /// So many clients connect to it and ask for nothing.
+    /// Opens this many idle client connections to a broker.
     CrowdComes(usize, usize),
-    /// They leave.
+    /// Closes a broker's idle client connections.
     CrowdLeaves(usize),
-    /// The stand-ins are told so.
-    World(World),
-    /// A server's machine is there no more, or again, for connections of all brokers.
+    /// Sends the stand-ins a command.
+    World(StandInCommand),
+    /// Makes a server reachable (`true`) or unreachable (`false`) for all brokers.
     Server(usize, bool),
-    /// Links do so from now on.
+    /// Sets the rule of links.
     Links(Links, Rule),
-    /// Connections of these links are reset.
+    /// Resets the connections of links.
     ResetLinks(Links),
 }
 
-/// How a broker is held up before writes that give a part up.
+/// A command to the stand-ins. `fleet check` prints it through `Debug`, with its own names for the commands, which stay
+/// the same when the stand-ins' variants are renamed.
+#[derive(Clone, Copy, PartialEq)]
+pub struct StandInCommand(pub WorldCommand);
+
+impl fmt::Debug for StandInCommand {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let mut command = |name: &str, fields: &[&dyn fmt::Debug]| {
+            let mut tuple = f.debug_tuple(name);
+            fields.iter().for_each(|field| {
+                tuple.field(field);
+            });
+            tuple.finish()
+        };
+        match &self.0 {
+            WorldCommand::SetBehaviour(server, behaviour) => {
+                command("Behave", &[server, &PrintedBehaviour(*behaviour)])
+            }
+            WorldCommand::StopServer(server) => command("Stop", &[server]),
+            WorldCommand::StartServer(server) => command("Start", &[server]),
+            WorldCommand::SetListed(server, state) => command("List", &[server, &PrintedState(*state)]),
+            WorldCommand::DelayListUpdates(delay) => command("Late", &[delay]),
+            WorldCommand::RejectCallsUntil(until) => command("TurnAwayUntil", &[until]),
+            WorldCommand::StallDiscoveryUntil(until) => command("SilentUntil", &[until]),
+            WorldCommand::BrokerStopped(broker) => command("BrokerGone", &[broker]),
+            WorldCommand::BrokerStarted(broker) => command("BrokerStarts", &[broker]),
+            WorldCommand::Shutdown => f.write_str("End"),
+        }
+    }
+}
+
+/// A server's behaviour under the name that `fleet check` prints.
+struct PrintedBehaviour(model::Behaviour);
+
+impl fmt::Debug for PrintedBehaviour {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            model::Behaviour::Serve => f.write_str("Serve"),
+            model::Behaviour::Fail => f.write_str("Break"),
+            model::Behaviour::Reject => f.write_str("TurnAway"),
+            model::Behaviour::Ignore => f.write_str("Swallow"),
+            model::Behaviour::CloseConnection => f.write_str("Hang"),
+            model::Behaviour::Slow(factor) => f.debug_tuple("Slow").field(&factor).finish(),
+            model::Behaviour::CorruptResponse => f.write_str("Spoil"),
+        }
+    }
+}
+
+/// A server's state in the list under the name that `fleet check` prints.
+struct PrintedState(ListedState);
+
+impl fmt::Debug for PrintedState {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self.0 {
+            ListedState::Up => "Up",
+            ListedState::Draining => "Draining",
+            ListedState::Removed => "Gone",
+        })
+    }
+}
+
+/// Delays before a broker's writes that withdraw a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteDelay {
-    /// Each so many-th of these writes is delayed.
+    /// Delays every n-th of these writes.
     pub every: u64,
-    /// By so much.
+    /// The delay.
     pub by: Duration,
 }
 
-/// A choice of links.
+/// A set of the proxy's links.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Links {
-    /// All there are.
+    /// All links.
     All,
     /// All brokers' links to these servers.
     Servers(Vec<usize>),
@@ -78,166 +142,193 @@
     AcrossZone(usize),
 }
 
-/// A schedule: acts by time, in order.
+/// The actions of a run, in time order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Schedule {
-    /// The acts, by time from the clients' start.
-    pub acts: Vec<(Duration, Act)>,
-    /// Servers beyond those of the start, in order of their coming: the cell of each.
-    pub later: Vec<usize>,
+    /// The actions, with their times since the clients' start.
+    pub actions: Vec<(Duration, Action)>,
+    /// The cells of the servers that are added during the run, in the order in which they start. Their indices follow
+    /// those of the initial servers.
+    pub added_servers: Vec<usize>,
 }
 
 /// The zone of a broker or a server.
-pub fn zone_of(number: usize, zones: usize) -> usize {
-    number % zones
+pub fn zone_of(index: usize, zones: usize) -> usize {
+    index % zones
 }
 
-/// So many of a number, at random, at the least one where the share is above none.
-fn some(rng: &mut ChaCha8Rng, of: usize, share: f64) -> Vec<usize> {
-    let mut all: Vec<usize> = (0..of).collect();
-    all.shuffle(rng);
-    let count = (of as f64 * share).round() as usize;
-    all.truncate(if share > 0.0 { count.max(1) } else { 0 });
-    all
+/// Draws this share of the indices below `count`, in random order; at least one if the share is above 0.
+fn sample(rng: &mut ChaCha8Rng, count: usize, share: f64) -> Vec<usize> {
+    let mut indices: Vec<usize> = (0..count).collect();
+    indices.shuffle(rng);
+    let sampled = (count as f64 * share).round() as usize;
+    indices.truncate(if share > 0.0 { sampled.max(1) } else { 0 });
+    indices
 }
 
-/// The brokers that an event names, in the order in which it comes to them.
-fn choose(rng: &mut ChaCha8Rng, of: usize, chosen: Brokers) -> Vec<usize> {
-    match chosen {
-        // The count may have been lowered since the scenario was checked.
-        Brokers::One(broker) => (broker < of).then_some(broker).into_iter().collect(),
-        Brokers::Share(share) => some(rng, of, share),
+/// The brokers that an event selects, in the order in which it affects them.
+fn select_brokers(rng: &mut ChaCha8Rng, count: usize, selection: Brokers) -> Vec<usize> {
+    match selection {
+        // The number of brokers may have been lowered since the scenario was checked.
+        Brokers::One(broker) => (broker < count).then_some(broker).into_iter().collect(),
+        Brokers::Share(share) => sample(rng, count, share),
     }
 }
 
 impl Schedule {
-    /// The schedule of a scenario.
+    /// Expands a scenario.
     pub fn new(scenario: &Scenario) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
         let mut schedule = Schedule::default();
         for event in &scenario.events {
             schedule.add(scenario, event.at, &event.fault, &mut rng);
         }
-        schedule.acts.sort_by_key(|(at, _)| *at);
+        schedule.actions.sort_by_key(|(at, _)| *at);
         schedule
     }
 
     fn add(&mut self, scenario: &Scenario, at: Duration, fault: &Fault, rng: &mut ChaCha8Rng) {
         let (brokers, servers) = (scenario.brokers, scenario.servers);
-        let mut act = |at: Duration, act: Act| self.acts.push((at, act));
+        let mut push = |at: Duration, action: Action| self.actions.push((at, action));
         match fault {
-            Fault::Kill { share, back } => {
-                for broker in some(rng, brokers, *share) {
-                    act(at, Act::Kill(broker));
-                    act(at + *back, Act::Start(broker));
+            Fault::Kill { share, restart_delay } => {
+                for broker in sample(rng, brokers, *share) {
+                    push(at, Action::Kill(broker));
+                    push(at + *restart_delay, Action::Start(broker));
                 }
             }
-            Fault::Roll { share, every } => {
+            Fault::Roll { share, interval } => {
                 let group = ((brokers as f64 * share).round() as usize).max(1);
-                for (n, group) in some(rng, brokers, 1.0).chunks(group).enumerate() {
-                    group.iter().for_each(|broker| act(at + *every * n as u32, Act::Restart(*broker)));
+                for (n, group) in sample(rng, brokers, 1.0).chunks(group).enumerate() {
+                    group.iter().for_each(|broker| push(at + *interval * n as u32, Action::Restart(*broker)));
                 }
             }
-            Fault::Upgrade { brokers: chosen, every } => {
-                for (n, broker) in choose(rng, brokers, *chosen).into_iter().enumerate() {
-                    act(at + *every * n as u32, Act::Upgrade(broker));
+            Fault::Upgrade { brokers: selection, interval } => {
+                for (n, broker) in select_brokers(rng, brokers, *selection).into_iter().enumerate() {
+                    push(at + *interval * n as u32, Action::Upgrade(broker));
                 }
             }
-            Fault::Drain { brokers: chosen, every, lasts } => {
-                for (n, broker) in choose(rng, brokers, *chosen).into_iter().enumerate() {
-                    let start = at + *every * n as u32;
-                    act(start, Act::StartDrain(broker));
-                    act(start + *lasts, Act::StopDrain(broker));
+            Fault::Drain { brokers: selection, interval, duration } => {
+                for (n, broker) in select_brokers(rng, brokers, *selection).into_iter().enumerate() {
+                    let start = at + *interval * n as u32;
+                    push(start, Action::StartDrain(broker));
+                    push(start + *duration, Action::StopDrain(broker));
                 }
             }
-            Fault::Pause { share, lasts } => {
-                for broker in some(rng, brokers, *share) {
-                    act(at, Act::Pause(broker));
-                    act(at + *lasts, Act::Resume(broker));
+            Fault::Pause { share, duration } => {
+                for broker in sample(rng, brokers, *share) {
+                    push(at, Action::Pause(broker));
+                    push(at + *duration, Action::Resume(broker));
                 }
             }
-            Fault::Hold { share, by, every, lasts } => {
-                for broker in some(rng, brokers, *share) {
-                    act(at, Act::DelayWrites(broker, Some(WriteDelay { every: *every, by: *by })));
-                    act(at + *lasts, Act::DelayWrites(broker, None));
+            Fault::Hold { share, delay, every_nth, duration } => {
+                for broker in sample(rng, brokers, *share) {
+                    push(at, Action::DelayWrites(broker, Some(WriteDelay { every: *every_nth, by: *delay })));
+                    push(at + *duration, Action::DelayWrites(broker, None));
                 }
             }
-            Fault::Stores { share, cut } => {
-                for broker in some(rng, brokers, *share) {
-                    act(at, if *cut { Act::Cut(broker) } else { Act::Wipe(broker) });
+            Fault::Stores { share, truncate } => {
+                for broker in sample(rng, brokers, *share) {
+                    push(at, if *truncate { Action::Cut(broker) } else { Action::Wipe(broker) });
                 }
             }
-            Fault::Reload => (0..brokers).for_each(|broker| act(at, Act::Reload(broker))),
-            Fault::Signals { share, series, every } => {
-                for broker in some(rng, brokers, *share) {
-                    for (n, signal) in series.iter().enumerate() {
-                        let signalled = match signal {
-                            Signal::Hup => Act::Hup(broker),
-                            Signal::Term => Act::Restart(broker),
+            Fault::Reload => (0..brokers).for_each(|broker| push(at, Action::Reload(broker))),
+            Fault::Signals { share, signals, interval } => {
+                for broker in sample(rng, brokers, *share) {
+                    for (n, signal) in signals.iter().enumerate() {
+                        let action = match signal {
+                            Signal::Hup => Action::Hup(broker),
+                            Signal::Term => Action::Restart(broker),
                         };
-                        act(at + *every * n as u32, signalled);
+                        push(at + *interval * n as u32, action);
                     }
                 }
             }
-            Fault::Crowd { share, clients, lasts } => {
-                for broker in some(rng, brokers, *share) {
-                    act(at, Act::CrowdComes(broker, *clients));
-                    act(at + *lasts, Act::CrowdLeaves(broker));
+            Fault::Crowd { share, clients, duration } => {
+                for broker in sample(rng, brokers, *share) {
+                    push(at, Action::CrowdComes(broker, *clients));
+                    push(at + *duration, Action::CrowdLeaves(broker));
                 }
             }
-            Fault::LoseZone { zone, lasts } => {
+            Fault::LoseZone { zone, duration } => {
                 let lost: Vec<usize> =
                     (0..servers).filter(|s| zone_of(*s, scenario.zones) == *zone).collect();
-                act(at, Act::Links(Links::Servers(lost.clone()), Rule::cut()));
-                // What comes back is another process: old connections are reset as it is reached again.
-                lost.iter().for_each(|server| act(at + *lasts, Act::World(World::StopServer(*server))));
-                act(at + *lasts, Act::ResetLinks(Links::Servers(lost.clone())));
-                lost.iter().for_each(|server| act(at + *lasts, Act::World(World::StartServer(*server))));
-                act(at + *lasts, Act::Links(Links::Servers(lost), Rule::default()));
+                push(at, Action::Links(Links::Servers(lost.clone()), Rule::cut()));
+                // The servers restart while they are unreachable, so their old connections are reset when the links are restored.
+                lost.iter().for_each(|server| {
+                    push(at + *duration, Action::World(StandInCommand(WorldCommand::StopServer(*server))))
+                });
+                push(at + *duration, Action::ResetLinks(Links::Servers(lost.clone())));
+                lost.iter().for_each(|server| {
+                    push(at + *duration, Action::World(StandInCommand(WorldCommand::StartServer(*server))))
+                });
+                push(at + *duration, Action::Links(Links::Servers(lost), Rule::default()));
             }
-            Fault::Partition { zone, one_way, lasts } => {
+            Fault::Partition { zone, one_way, duration } => {
                 let rule = Rule { cut_there: !one_way, ..Rule::cut() };
-                act(at, Act::Links(Links::AcrossZone(*zone), rule));
-                act(at + *lasts, Act::Links(Links::AcrossZone(*zone), Rule::default()));
+                push(at, Action::Links(Links::AcrossZone(*zone), rule));
+                push(at + *duration, Action::Links(Links::AcrossZone(*zone), Rule::default()));
             }
             Fault::Replace { share, within } => {
-                let old = some(rng, servers, *share);
+                let old = sample(rng, servers, *share);
                 let step = *within / old.len().max(1) as u32;
                 for (n, server) in old.into_iter().enumerate() {
-                    let (at, new) = (at + step * n as u32, servers + self.later.len());
-                    self.later.push(server % scenario.cells);
-                    let mut act = |at: Duration, act: Act| self.acts.push((at, act));
-                    act(at, Act::World(World::StartServer(new)));
-                    act(at, Act::Server(new, true));
-                    act(at, Act::World(World::SetListed(new, ListedState::Up)));
-                    act(at, Act::World(World::SetListed(server, ListedState::Draining)));
-                    act(at + DRAINS, Act::World(World::SetListed(server, ListedState::Removed)));
-                    act(at + DRAINS * 2, Act::Server(server, false));
-                    act(at + DRAINS * 2, Act::World(World::StopServer(server)));
+                    let (at, new) = (at + step * n as u32, servers + self.added_servers.len());
+                    self.added_servers.push(server % scenario.cells);
+                    let mut push = |at: Duration, action: Action| self.actions.push((at, action));
+                    push(at, Action::World(StandInCommand(WorldCommand::StartServer(new))));
+                    push(at, Action::Server(new, true));
+                    push(at, Action::World(StandInCommand(WorldCommand::SetListed(new, ListedState::Up))));
+                    push(
+                        at,
+                        Action::World(StandInCommand(WorldCommand::SetListed(server, ListedState::Draining))),
+                    );
+                    push(
+                        at + SERVER_DRAIN_TIME,
+                        Action::World(StandInCommand(WorldCommand::SetListed(server, ListedState::Removed))),
+                    );
+                    push(at + SERVER_DRAIN_TIME * 2, Action::Server(server, false));
+                    push(
+                        at + SERVER_DRAIN_TIME * 2,
+                        Action::World(StandInCommand(WorldCommand::StopServer(server))),
+                    );
                 }
             }
-            Fault::Servers { share, manner, lasts } => {
-                let manner = match manner {
-                    Manner::Break => model::Behaviour::Fail,
-                    Manner::TurnAway => model::Behaviour::Reject,
-                    Manner::Swallow => model::Behaviour::Ignore,
-                    Manner::Hang => model::Behaviour::CloseConnection,
-                    Manner::Slow => model::Behaviour::Slow(10.0),
-                    Manner::Spoil => model::Behaviour::CorruptResponse,
+            Fault::Servers { share, behaviour, duration } => {
+                let behaviour = match behaviour {
+                    ServerBehaviour::Fail => model::Behaviour::Fail,
+                    ServerBehaviour::Reject => model::Behaviour::Reject,
+                    ServerBehaviour::Ignore => model::Behaviour::Ignore,
+                    ServerBehaviour::CloseConnection => model::Behaviour::CloseConnection,
+                    ServerBehaviour::Slow => model::Behaviour::Slow(10.0),
+                    ServerBehaviour::CorruptResponse => model::Behaviour::CorruptResponse,
                 };
-                for server in some(rng, servers, *share) {
-                    act(at, Act::World(World::SetBehaviour(server, manner)));
-                    act(at + *lasts, Act::World(World::SetBehaviour(server, model::Behaviour::Serve)));
+                for server in sample(rng, servers, *share) {
+                    push(at, Action::World(StandInCommand(WorldCommand::SetBehaviour(server, behaviour))));
+                    push(
+                        at + *duration,
+                        Action::World(StandInCommand(WorldCommand::SetBehaviour(
+                            server,
+                            model::Behaviour::Serve,
+                        ))),
+                    );
                 }
             }
-            Fault::Late { by, lasts } => {
-                act(at, Act::World(World::DelayListUpdates(*by)));
-                act(at + *lasts, Act::World(World::DelayListUpdates(Duration::ZERO)));
+            Fault::Late { delay, duration } => {
+                push(at, Action::World(StandInCommand(WorldCommand::DelayListUpdates(*delay))));
+                push(
+                    at + *duration,
+                    Action::World(StandInCommand(WorldCommand::DelayListUpdates(Duration::ZERO))),
+                );
+            }
+            // The stand-ins' times count from their own start, which is before the clients'; the runner adds the difference.
+            Fault::TurnAway { duration } => {
+                push(at, Action::World(StandInCommand(WorldCommand::RejectCallsUntil(at + *duration))))
             }
-            // The world's times count from its start, a little before the clients': the runner adds that.
-            Fault::TurnAway { lasts } => act(at, Act::World(World::RejectCallsUntil(at + *lasts))),
-            Fault::Silence { lasts } => act(at, Act::World(World::StallDiscoveryUntil(at + *lasts))),
-            Fault::Network { delay, jitter, loss, reset, rate, lasts } => {
+            Fault::Silence { duration } => {
+                push(at, Action::World(StandInCommand(WorldCommand::StallDiscoveryUntil(at + *duration))))
+            }
+            Fault::Network { delay, jitter, loss, reset, rate, duration } => {
                 let rule = Rule {
                     delay: *delay,
                     jitter: *jitter,
@@ -246,36 +337,35 @@
                     rate: *rate,
                     ..Rule::default()
                 };
-                act(at, Act::Links(Links::All, rule));
-                act(at + *lasts, Act::Links(Links::All, Rule::default()));
+                push(at, Action::Links(Links::All, rule));
+                push(at + *duration, Action::Links(Links::All, Rule::default()));
             }
         }
-        // Each event draws from a stream of its own length, whatever it drew: the next one's draw is not its
-        // neighbour's.
+        // Events share one random stream: this draw keeps apart the streams of neighbouring events, also of those that
+        // draw nothing themselves.
         let _: u64 = rng.random();
     }
 
-    /// Whether it upgrades or drains brokers: what clients must not notice.
+    /// Whether the schedule upgrades or drains brokers; clients must not notice either.
     pub fn is_seamless(&self) -> bool {
-        let seamless = |act: &Act| matches!(act, Act::Upgrade(_) | Act::StartDrain(_));
-        self.acts.iter().any(|(_, act)| seamless(act))
+        let seamless = |action: &Action| matches!(action, Action::Upgrade(_) | Action::StartDrain(_));
+        self.actions.iter().any(|(_, action)| seamless(action))
     }
 
-    /// When the last act is over.
-    pub fn ends(&self) -> Duration {
-        self.acts.last().map_or(Duration::ZERO, |(at, _)| *at)
+    /// The time of the last action.
+    pub fn end(&self) -> Duration {
+        self.actions.last().map_or(Duration::ZERO, |(at, _)| *at)
     }
 
-    /// Spans in which requests at a broker may end without an answer through no fault of its own: it was
-    /// killed or stood still. From when, until when.
-    pub fn excused(&self, broker: usize) -> Vec<(Duration, Duration)> {
+    /// The spans, as start and end, in which a broker may leave requests unanswered because it was killed or paused.
+    pub fn excused_spans(&self, broker: usize) -> Vec<(Duration, Duration)> {
         let mut spans = Vec::new();
-        for (at, act) in &self.acts {
-            match act {
-                Act::Kill(b) if *b == broker => spans.push((*at, *at)),
-                Act::Pause(b) if *b == broker => {
-                    let on = self.acts.iter().find(|(t, a)| t >= at && *a == Act::Resume(broker));
-                    spans.push((*at, on.map_or(*at, |(t, _)| *t)));
+        for (at, action) in &self.actions {
+            match action {
+                Action::Kill(b) if *b == broker => spans.push((*at, *at)),
+                Action::Pause(b) if *b == broker => {
+                    let resume = self.actions.iter().find(|(t, a)| t >= at && *a == Action::Resume(broker));
+                    spans.push((*at, resume.map_or(*at, |(t, _)| *t)));
                 }
                 _ => {}
             }
@@ -294,25 +384,29 @@
         let text = format!(
             "brokers: 10\nservers: 12\nzones: 3\ncells: 6\nrate: 20\nseconds: 9\nseed: {seed}\nevents:\n{events}"
         );
-        Schedule::new(&Scenario::read(Path::new("s"), &text).expect("sound"))
+        Schedule::new(&Scenario::read(Path::new("s"), &text).expect("valid scenario"))
     }
 
     #[test]
-    fn the_same_seed_gives_the_same_acts_and_another_gives_others() {
+    fn the_seed_determines_the_actions() {
         let events =
             "  - {at: 1, kill: {share: 0.7, back_s: 0.5}}\n  - {at: 3, replace: {share: 0.5, within_s: 3}}\n";
         assert_eq!(schedule(7, events), schedule(7, events));
-        assert_ne!(schedule(7, events).acts, schedule(8, events).acts);
-        let kills = schedule(7, events).acts.iter().filter(|(_, act)| matches!(act, Act::Kill(_))).count();
-        assert_eq!((kills, schedule(7, events).later.len()), (7, 6));
+        assert_ne!(schedule(7, events).actions, schedule(8, events).actions);
+        let kills = schedule(7, events)
+            .actions
+            .iter()
+            .filter(|(_, action)| matches!(action, Action::Kill(_)))
+            .count();
+        assert_eq!((kills, schedule(7, events).added_servers.len()), (7, 6));
     }
 
     #[test]
-    fn a_roll_restarts_each_broker_once_a_tenth_at_a_time() {
+    fn a_rolling_restart_covers_each_broker_once_in_groups() {
         let schedule = schedule(3, "  - {at: 2, roll: {share: 0.2, every_s: 0.5}}\n");
         let mut seen = [0; 10];
-        for (n, (at, act)) in schedule.acts.iter().enumerate() {
-            let Act::Restart(broker) = act else { panic!("{act:?}") };
+        for (n, (at, action)) in schedule.actions.iter().enumerate() {
+            let Action::Restart(broker) = action else { panic!("{action:?}") };
             seen[*broker] += 1;
             assert_eq!(*at, Duration::from_millis(2000 + 500 * (n as u64 / 2)));
         }
@@ -320,11 +414,11 @@
     }
 
     #[test]
-    fn upgrades_come_to_each_broker_once_in_turn() {
+    fn brokers_are_upgraded_once_each_in_turn() {
         let schedule = schedule(3, "  - {at: 2, upgrade: {share: 1, every_s: 0.5}}\n");
         let mut seen = [0; 10];
-        for (n, (at, act)) in schedule.acts.iter().enumerate() {
-            let Act::Upgrade(broker) = act else { panic!("{act:?}") };
+        for (n, (at, action)) in schedule.actions.iter().enumerate() {
+            let Action::Upgrade(broker) = action else { panic!("{action:?}") };
             seen[*broker] += 1;
             assert_eq!(*at, Duration::from_millis(2000 + 500 * n as u64));
         }
@@ -333,32 +427,62 @@
     }
 
     #[test]
-    fn brokers_that_drain_are_taken_back() {
+    fn a_drain_of_a_broker_is_stopped_after_its_duration() {
         let one = schedule(3, "  - {at: 2, drain: {broker: 6, for_s: 5}}\n");
         let s = Duration::from_secs;
-        assert_eq!(one.acts, [(s(2), Act::StartDrain(6)), (s(7), Act::StopDrain(6))]);
-        let some = schedule(3, "  - {at: 1, drain: {share: 0.3, every_s: 1, for_s: 5}}\n");
+        assert_eq!(one.actions, [(s(2), Action::StartDrain(6)), (s(7), Action::StopDrain(6))]);
+        let share = schedule(3, "  - {at: 1, drain: {share: 0.3, every_s: 1, for_s: 5}}\n");
         let mut brokers: Vec<usize> = Vec::new();
-        for (at, act) in &some.acts {
-            if let Act::StartDrain(broker) = act {
+        for (at, action) in &share.actions {
+            if let Action::StartDrain(broker) = action {
                 assert_eq!(*at, s(1 + brokers.len() as u64));
-                assert!(some.acts.contains(&(*at + s(5), Act::StopDrain(*broker))));
+                assert!(share.actions.contains(&(*at + s(5), Action::StopDrain(*broker))));
                 brokers.push(*broker);
             }
         }
-        assert_eq!((brokers.len(), some.acts.len()), (3, 6));
-        assert!(one.is_seamless() && some.is_seamless());
+        assert_eq!((brokers.len(), share.actions.len()), (3, 6));
+        assert!(one.is_seamless() && share.is_seamless());
         assert!(!schedule(3, "  - {at: 2, roll: {share: 1, every_s: 1}}\n").is_seamless());
     }
 
     #[test]
-    fn those_that_were_killed_or_stood_still_are_excused() {
+    fn kills_and_pauses_excuse_unanswered_requests_spans() {
         let schedule = schedule(
             3,
             "  - {at: 2, pause: {share: 1, for_s: 1}}\n  - {at: 5, kill: {share: 1, back_s: 1}}\n",
         );
         let s = Duration::from_secs;
-        assert_eq!(schedule.excused(4), [(s(2), s(3)), (s(5), s(5))]);
-        assert_eq!(schedule.ends(), s(6));
+        assert_eq!(schedule.excused_spans(4), [(s(2), s(3)), (s(5), s(5))]);
+        assert_eq!(schedule.end(), s(6));
+    }
+
+    // `fleet check` prints commands to the stand-ins under these names, whatever the stand-ins call them.
+    #[test]
+    fn commands_to_the_stand_ins_are_printed_under_fixed_names() {
+        use model::Behaviour;
+        let s = Duration::from_secs(1);
+        let printed = [
+            (WorldCommand::SetBehaviour(1, Behaviour::Serve), "World(Behave(1, Serve))"),
+            (WorldCommand::SetBehaviour(1, Behaviour::Fail), "World(Behave(1, Break))"),
+            (WorldCommand::SetBehaviour(1, Behaviour::Reject), "World(Behave(1, TurnAway))"),
+            (WorldCommand::SetBehaviour(1, Behaviour::Ignore), "World(Behave(1, Swallow))"),
+            (WorldCommand::SetBehaviour(1, Behaviour::CloseConnection), "World(Behave(1, Hang))"),
+            (WorldCommand::SetBehaviour(1, Behaviour::Slow(10.0)), "World(Behave(1, Slow(10.0)))"),
+            (WorldCommand::SetBehaviour(1, Behaviour::CorruptResponse), "World(Behave(1, Spoil))"),
+            (WorldCommand::StopServer(2), "World(Stop(2))"),
+            (WorldCommand::StartServer(2), "World(Start(2))"),
+            (WorldCommand::SetListed(2, ListedState::Up), "World(List(2, Up))"),
+            (WorldCommand::SetListed(2, ListedState::Draining), "World(List(2, Draining))"),
+            (WorldCommand::SetListed(2, ListedState::Removed), "World(List(2, Gone))"),
+            (WorldCommand::DelayListUpdates(s), "World(Late(1s))"),
+            (WorldCommand::RejectCallsUntil(s), "World(TurnAwayUntil(1s))"),
+            (WorldCommand::StallDiscoveryUntil(s), "World(SilentUntil(1s))"),
+            (WorldCommand::BrokerStopped(3), "World(BrokerGone(3))"),
+            (WorldCommand::BrokerStarted(3), "World(BrokerStarts(3))"),
+            (WorldCommand::Shutdown, "World(End)"),
+        ];
+        for (command, text) in printed {
+            assert_eq!(format!("{:?}", Action::World(StandInCommand(command))), text);
+        }
     }
 }
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -1,5 +1,5 @@
-//! The fault proxy and the checkers on real sockets: each fault does what it says, and each checker finds a broken
-//! peer. A time limit here is only how long a failing test takes; no verdict hangs on how fast anything is.
+//! The fault proxy, the stand-ins' checks and the clients' checks on real sockets: each fault has its effect, and each
+//! check detects a faulty peer. Timeouts only bound how long a failing test takes; no result depends on speed.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -8,145 +8,148 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use badgergauge_fleet::load::{Class, Clients, Effect, Load, Seen, Tell as FrontTell};
-use badgergauge_fleet::proxy::{Builder, Link, Proxy, Rule, Tell};
-use badgergauge_standin::ledger::Rule as Broken;
+use badgergauge_fleet::load::{Class, Clients, Effect, Load, Seen, Tell as ClientCommand};
+use badgergauge_fleet::proxy::{Builder, Link, Proxy, ProxyCommand, Rule};
+use badgergauge_standin::ledger::Rule as ViolatedRule;
 use badgergauge_standin::model::{Behaviour, ServerParameters};
 use badgergauge_standin::world::{ListedState, ServerConfig, World, WorldCommand, WorldConfig};
 
-const HANGS: Duration = Duration::from_secs(20);
-/// Long against what loopback takes; that nothing comes is waited for so long.
-const NOTHING: Duration = Duration::from_millis(150);
+/// Bounds how long a failing test waits.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// How long tests wait to see that nothing arrives; long compared with a round trip on loopback.
+const NO_DATA_WAIT: Duration = Duration::from_millis(150);
 
-fn linked() -> (TcpListener, Proxy, Link, SocketAddr) {
+/// A server behind a proxy: listener, proxy, link and the proxy's address.
+fn proxied_server() -> (TcpListener, Proxy, Link, SocketAddr) {
     let server = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut builder = Builder::new(1);
     let (link, at) = builder.tcp(server.local_addr().expect("bound")).expect("a port");
     (server, builder.start().expect("starts"), link, at)
 }
 
-fn joined(server: &TcpListener, at: SocketAddr) -> (TcpStream, TcpStream) {
+/// Connects through the proxy. Returns the client's and the server's side.
+fn connect(server: &TcpListener, at: SocketAddr) -> (TcpStream, TcpStream) {
     let client = TcpStream::connect(at).expect("listens");
-    let (other, _) = server.accept().expect("comes");
-    for stream in [&client, &other] {
-        stream.set_read_timeout(Some(HANGS)).expect("set");
+    let (peer, _) = server.accept().expect("accepted");
+    for stream in [&client, &peer] {
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     }
-    (client, other)
+    (client, peer)
 }
 
-/// One byte, or why none came within a time.
-fn byte(mut stream: &TcpStream, within: Duration) -> io::Result<u8> {
+/// Reads one byte within a time.
+fn read_byte(mut stream: &TcpStream, within: Duration) -> io::Result<u8> {
     stream.set_read_timeout(Some(within)).expect("set");
     let mut byte = [0];
     stream.read_exact(&mut byte).map(|()| byte[0])
 }
 
-fn nothing(stream: &TcpStream) -> bool {
+fn receives_nothing(stream: &TcpStream) -> bool {
     matches!(
-        byte(stream, NOTHING).map_err(|error| error.kind()),
+        read_byte(stream, NO_DATA_WAIT).map_err(|error| error.kind()),
         Err(ErrorKind::WouldBlock | ErrorKind::TimedOut)
     )
 }
 
-/// Tries until it holds: what the proxy is told takes hold on its own thread.
-fn until(mut holds: impl FnMut() -> bool) {
+/// Polls until a condition holds, as the proxy and the stand-ins carry out commands on their own threads.
+fn wait_until(mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < HANGS, "it never holds");
+        assert!(start.elapsed() < TIMEOUT, "the condition did not hold in time");
         thread::yield_now();
     }
 }
 
 #[test]
-fn a_cut_is_silent_new_connections_never_come_up_and_all_goes_on_after_it() {
-    let (server, proxy, link, at) = linked();
-    let (mut client, other) = joined(&server, at);
+fn a_cut_stops_traffic_and_new_connections_and_can_be_undone() {
+    let (server, proxy, link, at) = proxied_server();
+    let (mut client, other) = connect(&server, at);
     client.write_all(b"a").expect("written");
-    assert_eq!(byte(&other, HANGS).expect("comes"), b'a');
-    proxy.tell(Tell::Set(vec![link], Rule::cut()));
-    // Connections come up while the word is on its way; once one does not, the cut is there.
-    until(|| TcpStream::connect_timeout(&at, NOTHING).is_err());
-    client.write_all(b"b").expect("taken by the system");
-    assert!(nothing(&other) && nothing(&client), "what was cut passes");
-    proxy.tell(Tell::Set(vec![link], Rule::default()));
-    assert_eq!(byte(&other, HANGS).expect("what waited comes"), b'b');
-    until(|| TcpStream::connect_timeout(&at, HANGS).is_ok());
+    assert_eq!(read_byte(&other, TIMEOUT).expect("received"), b'a');
+    proxy.send(ProxyCommand::SetRule(vec![link], Rule::cut()));
+    // Connections succeed until the proxy has carried out the command; once one times out, the cut is in effect.
+    wait_until(|| TcpStream::connect_timeout(&at, NO_DATA_WAIT).is_err());
+    client.write_all(b"b").expect("buffered by the system");
+    assert!(receives_nothing(&other) && receives_nothing(&client), "data passed a cut link");
+    proxy.send(ProxyCommand::SetRule(vec![link], Rule::default()));
+    assert_eq!(read_byte(&other, TIMEOUT).expect("queued data arrives"), b'b');
+    wait_until(|| TcpStream::connect_timeout(&at, TIMEOUT).is_ok());
 }
 
 #[test]
-fn a_one_way_cut_lets_the_other_way_pass() {
-    let (server, proxy, link, at) = linked();
-    let (mut client, mut other) = joined(&server, at);
-    proxy.tell(Tell::Set(vec![link], Rule { cut_back: true, ..Rule::default() }));
-    until(|| TcpStream::connect_timeout(&at, NOTHING).is_err());
+fn a_one_way_cut_leaves_the_other_direction_open() {
+    let (server, proxy, link, at) = proxied_server();
+    let (mut client, mut other) = connect(&server, at);
+    proxy.send(ProxyCommand::SetRule(vec![link], Rule { cut_back: true, ..Rule::default() }));
+    wait_until(|| TcpStream::connect_timeout(&at, NO_DATA_WAIT).is_err());
     client.write_all(b"a").expect("written");
-    assert_eq!(byte(&other, HANGS).expect("comes"), b'a');
-    other.write_all(b"b").expect("taken by the system");
-    assert!(nothing(&client), "what was cut passes");
+    assert_eq!(read_byte(&other, TIMEOUT).expect("received"), b'a');
+    other.write_all(b"b").expect("buffered by the system");
+    assert!(receives_nothing(&client), "data passed a cut link");
 }
 
 #[test]
-fn a_process_that_is_down_resets_and_refuses_and_is_found_again_at_its_address() {
-    let (server, proxy, link, at) = linked();
-    let (client, _other) = joined(&server, at);
-    proxy.tell(Tell::Down(vec![link]));
-    assert_eq!(byte(&client, HANGS).map_err(|error| error.kind()), Err(ErrorKind::ConnectionReset));
+fn a_link_that_is_down_resets_and_refuses_until_it_is_up_again_at_its_address() {
+    let (server, proxy, link, at) = proxied_server();
+    let (client, _other) = connect(&server, at);
+    proxy.send(ProxyCommand::Down(vec![link]));
+    assert_eq!(read_byte(&client, TIMEOUT).map_err(|error| error.kind()), Err(ErrorKind::ConnectionReset));
     let refused = TcpStream::connect(at).map(drop).map_err(|error| error.kind());
     assert_eq!(refused, Err(ErrorKind::ConnectionRefused));
-    proxy.tell(Tell::Up(vec![link]));
-    until(|| TcpStream::connect(at).is_ok());
+    proxy.send(ProxyCommand::Up(vec![link]));
+    wait_until(|| TcpStream::connect(at).is_ok());
 }
 
 #[test]
-fn a_reset_hits_the_request_and_delay_and_a_slow_reader_keep_the_order() {
-    let (server, proxy, link, at) = linked();
+fn delay_keeps_the_order_rate_limits_and_reset_ends_the_connection() {
+    let (server, proxy, link, at) = proxied_server();
     let rule =
         Rule { delay: Duration::from_millis(40), jitter: Duration::from_millis(20), ..Rule::default() };
-    proxy.tell(Tell::Set(vec![link], rule));
-    let (mut client, mut other) = joined(&server, at);
+    proxy.send(ProxyCommand::SetRule(vec![link], rule));
+    let (mut client, mut other) = connect(&server, at);
     let start = Instant::now();
     for n in 0..50_u8 {
         client.write_all(&[n]).expect("written");
     }
-    let mut came = [0; 50];
-    other.read_exact(&mut came).expect("all come");
+    let mut received = [0; 50];
+    other.read_exact(&mut received).expect("all received");
     assert!(start.elapsed() >= rule.delay, "{:?}", start.elapsed());
-    assert!(came.iter().enumerate().all(|(n, byte)| usize::from(*byte) == n), "{came:?}");
-    proxy.tell(Tell::Set(vec![link], Rule { rate: Some(10_000), ..Rule::default() }));
-    let (mut client, mut other) = joined(&server, at);
+    assert!(received.iter().enumerate().all(|(n, byte)| usize::from(*byte) == n), "{received:?}");
+    proxy.send(ProxyCommand::SetRule(vec![link], Rule { rate: Some(10_000), ..Rule::default() }));
+    let (mut client, mut other) = connect(&server, at);
     let start = Instant::now();
     let writer = thread::spawn(move || client.write_all(&[7; 3000]).map(|()| client));
-    other.read_exact(&mut [0; 3000]).expect("all come");
+    other.read_exact(&mut [0; 3000]).expect("all received");
     assert!(start.elapsed() >= Duration::from_millis(200), "{:?} for 0.3 s of bytes", start.elapsed());
     drop(writer.join().expect("written"));
-    proxy.tell(Tell::Set(vec![link], Rule { reset: 1.0, ..Rule::default() }));
-    let (mut client, _other) = joined(&server, at);
-    client.write_all(b"a").expect("taken by the system");
-    assert_eq!(byte(&client, HANGS).map_err(|error| error.kind()), Err(ErrorKind::ConnectionReset));
+    proxy.send(ProxyCommand::SetRule(vec![link], Rule { reset: 1.0, ..Rule::default() }));
+    let (mut client, _other) = connect(&server, at);
+    client.write_all(b"a").expect("buffered by the system");
+    assert_eq!(read_byte(&client, TIMEOUT).map_err(|error| error.kind()), Err(ErrorKind::ConnectionReset));
 }
 
 #[test]
-fn datagrams_come_from_the_address_that_their_receiver_knows_and_may_be_lost() {
+fn datagrams_arrive_from_the_address_that_their_receiver_knows_and_can_be_dropped() {
     let bind = || UdpSocket::bind("127.0.0.1:0").expect("a port");
     let (one, other) = (bind(), bind());
     let at = |socket: &UdpSocket| socket.local_addr().expect("bound");
     let mut builder = Builder::new(1);
-    let [(there, to), (_, back)] = builder.udp(at(&one), at(&other)).expect("ports");
+    let [(forward, to), (_, back)] = builder.udp(at(&one), at(&other)).expect("ports");
     let proxy = builder.start().expect("starts");
     let mut bytes = [0; 16];
-    other.set_read_timeout(Some(HANGS)).expect("set");
+    other.set_read_timeout(Some(TIMEOUT)).expect("set");
     one.send_to(b"a", to).expect("sent");
-    assert_eq!(other.recv_from(&mut bytes).expect("comes"), (1, back));
-    proxy.tell(Tell::Set(vec![there], Rule { loss: 1.0, ..Rule::default() }));
-    // Those sent before the word took hold still come; then none does.
-    until(|| {
+    assert_eq!(other.recv_from(&mut bytes).expect("received"), (1, back));
+    proxy.send(ProxyCommand::SetRule(vec![forward], Rule { loss: 1.0, ..Rule::default() }));
+    // Datagrams still arrive until the proxy has carried out the command; then none does.
+    wait_until(|| {
         one.send_to(b"b", to).expect("sent");
-        other.set_read_timeout(Some(NOTHING)).expect("set");
+        other.set_read_timeout(Some(NO_DATA_WAIT)).expect("set");
         other.recv_from(&mut [0; 16]).is_err()
     });
     other.send_to(b"c", back).expect("sent");
-    one.set_read_timeout(Some(HANGS)).expect("set");
-    assert_eq!(one.recv_from(&mut bytes).expect("the way back is not lossy"), (1, to));
+    one.set_read_timeout(Some(TIMEOUT)).expect("set");
+    assert_eq!(one.recv_from(&mut bytes).expect("the reverse link drops nothing"), (1, to));
 }
 
 fn world(servers: usize, brokers: usize) -> World {
@@ -182,134 +185,138 @@
     World::start(config, Instant::now(), |at| Ok(vec![at.to_vec(); brokers])).expect("starts")
 }
 
-fn framed(frame: &str) -> Vec<u8> {
+fn encode_frame(frame: &str) -> Vec<u8> {
     [&(frame.len() as u32).to_be_bytes()[..], frame.as_bytes()].concat()
 }
 
-fn part(id: &str, shard: u32, key: &str) -> Vec<u8> {
-    framed(&format!("q{id} {shard} d=100,k={key} 1\nt"))
+fn part_frame(id: &str, shard: u32, key: &str) -> Vec<u8> {
+    encode_frame(&format!("q{id} {shard} d=100,k={key} 1\nt"))
 }
 
-fn answer(stream: &mut TcpStream) -> String {
-    stream.set_read_timeout(Some(HANGS)).expect("set");
+fn read_response(stream: &mut TcpStream) -> String {
+    stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     let mut length = [0; 4];
-    stream.read_exact(&mut length).expect("comes");
+    stream.read_exact(&mut length).expect("received");
     let mut frame = vec![0; u32::from_be_bytes(length) as usize];
-    stream.read_exact(&mut frame).expect("comes");
+    stream.read_exact(&mut frame).expect("received");
     String::from_utf8(frame).expect("text")
 }
 
-fn found(world: &World) -> Vec<Broken> {
+fn violated_rules(world: &World) -> Vec<ViolatedRule> {
     world.ledger().violations.iter().map(|breach| breach.rule).collect()
 }
 
-// A broken broker, by hand: each thing that it does wrong is found, and what is right is not.
+// Sends the stand-ins what a faulty broker would send: every violation is detected, and correct behaviour is not
+// reported.
 #[test]
-fn the_stand_ins_find_what_a_broken_broker_does() {
+fn stand_ins_detect_a_faulty_brokers_violations() {
     let world = world(2, 1);
     let connect = |server: usize| TcpStream::connect(world.tile_address(server)).expect("listens");
     let mut one = connect(0);
-    one.write_all(&part("b0-1.0", 0, "k1")).expect("written");
-    assert!(answer(&mut one).starts_with("ab0-1.0 served "));
-    assert_eq!(found(&world), []);
-    // Twice at once: the first is swallowed, and never given up. Word comes to the world before what is written
-    // after it.
+    one.write_all(&part_frame("b0-1.0", 0, "k1")).expect("written");
+    assert!(read_response(&mut one).starts_with("ab0-1.0 served "));
+    assert_eq!(violated_rules(&world), []);
+    // In flight twice: the server ignores the first part, and it is not withdrawn. The world carries out a command before
+    // it reads what is written after it.
     world.send(WorldCommand::SetBehaviour(0, Behaviour::Ignore));
-    one.write_all(&part("b0-2.0", 0, "k2")).expect("written");
-    one.write_all(&framed("p")).expect("written");
-    assert_eq!(answer(&mut one), "pserved", "both were read");
+    one.write_all(&part_frame("b0-2.0", 0, "k2")).expect("written");
+    one.write_all(&encode_frame("p")).expect("written");
+    assert_eq!(read_response(&mut one), "pserved", "both frames were read");
     let mut two = connect(0);
-    two.write_all(&part("b0-2.0", 0, "k2")).expect("written");
-    until(|| found(&world) == [Broken::SecondCopy]);
-    // With word of the first it is none.
+    two.write_all(&part_frame("b0-2.0", 0, "k2")).expect("written");
+    wait_until(|| violated_rules(&world) == [ViolatedRule::SecondCopy]);
+    // Sending the part again is correct once the first was withdrawn.
     world.ledger().violations.clear();
-    one.write_all(&part("b0-3.0", 0, "k3")).expect("written");
-    one.write_all(&framed("cb0-3.0")).expect("written");
-    one.write_all(&part("b0-3.0", 0, "k3")).expect("written");
-    one.write_all(&framed("p")).expect("written");
-    assert_eq!(answer(&mut one), "pserved");
-    assert_eq!(found(&world), []);
-    // Nor is it one once the network has reset the connection of the first.
+    one.write_all(&part_frame("b0-3.0", 0, "k3")).expect("written");
+    one.write_all(&encode_frame("cb0-3.0")).expect("written");
+    one.write_all(&part_frame("b0-3.0", 0, "k3")).expect("written");
+    one.write_all(&encode_frame("p")).expect("written");
+    assert_eq!(read_response(&mut one), "pserved");
+    assert_eq!(violated_rules(&world), []);
+    // It is also correct once the connection of the first was reset.
     let mut third = connect(0);
-    third.write_all(&part("b0-7.0", 0, "k7")).expect("written");
-    third.write_all(&framed("p")).expect("written");
-    assert_eq!(answer(&mut third), "pserved", "both were read");
+    third.write_all(&part_frame("b0-7.0", 0, "k7")).expect("written");
+    third.write_all(&encode_frame("p")).expect("written");
+    assert_eq!(read_response(&mut third), "pserved", "both frames were read");
     socket2::SockRef::from(&third).set_linger(Some(Duration::ZERO)).expect("set");
     drop(third);
-    one.write_all(&part("b0-7.0", 0, "k7")).expect("written");
-    one.write_all(&framed("p")).expect("written");
-    assert_eq!(answer(&mut one), "pserved");
-    assert_eq!(found(&world), []);
-    // At a server that does not hold the shard, and a frame that is no use.
-    one.write_all(&part("b0-4.1", 1, "k4")).expect("written");
-    until(|| found(&world) == [Broken::Misplaced]);
-    // Begun and never ended.
+    one.write_all(&part_frame("b0-7.0", 0, "k7")).expect("written");
+    one.write_all(&encode_frame("p")).expect("written");
+    assert_eq!(read_response(&mut one), "pserved");
+    assert_eq!(violated_rules(&world), []);
+    // Sent to a server that does not hold the shard.
+    one.write_all(&part_frame("b0-4.1", 1, "k4")).expect("written");
+    wait_until(|| violated_rules(&world) == [ViolatedRule::Misplaced]);
+    // A frame that is started and not completed.
     world.ledger().violations.clear();
-    two.write_all(&part("b0-5.0", 0, "k5")[..9]).expect("written");
+    two.write_all(&part_frame("b0-5.0", 0, "k5")[..9]).expect("written");
     drop(two);
-    until(|| found(&world) == [Broken::CutFrame]);
-    // Again after its window, which is 10 ms here, and the slack.
+    wait_until(|| violated_rules(&world) == [ViolatedRule::CutFrame]);
+    // Executed again after the idempotency window, which is 10 ms here, and its slack.
     world.ledger().violations.clear();
     world.send(WorldCommand::SetBehaviour(0, Behaviour::Serve));
-    until(|| {
-        one.write_all(&part("b0-6.0", 0, "k1")).expect("written");
-        answer(&mut one);
-        found(&world) == [Broken::Doubled]
+    wait_until(|| {
+        one.write_all(&part_frame("b0-6.0", 0, "k1")).expect("written");
+        read_response(&mut one);
+        violated_rules(&world) == [ViolatedRule::Doubled]
     });
 }
 
-// A cold server under more than its joint limit falls over, says so, and comes back cold.
+// A part that is sent to a server after its drain was announced and the grace time is over is reported, and so is a cold
+// server that crashes because it gets more work than it can do.
 #[test]
-fn a_cold_server_falls_over_and_a_drain_binds_from_when_it_was_told() {
+fn violations_of_a_drain_and_crashes_of_a_cold_server_are_reported() {
     let world = world(1, 1);
     let mut watch = TcpStream::connect(world.discovery_address(0)).expect("listens");
     watch.write_all(b"GET /discovery/hosts?stream=1&index=0 HTTP/1.1\r\nHost: d\r\n\r\n").expect("written");
-    watch.set_read_timeout(Some(HANGS)).expect("set");
+    watch.set_read_timeout(Some(TIMEOUT)).expect("set");
     let mut list = String::new();
-    let mut reads = |needle: &str| {
+    let mut read_until = |needle: &str| {
         while !list.contains(needle) {
             let mut bytes = [0; 1024];
-            let read = watch.read(&mut bytes).expect("comes");
+            let read = watch.read(&mut bytes).expect("received");
             list.push_str(std::str::from_utf8(&bytes[..read]).expect("text"));
         }
     };
-    reads("\"up\"");
+    read_until("\"up\"");
     world.send(WorldCommand::SetListed(0, ListedState::Draining));
-    reads("\"draining\"");
-    let told = Instant::now();
+    read_until("\"draining\"");
+    let announced = Instant::now();
     let mut one = TcpStream::connect(world.tile_address(0)).expect("listens");
-    until(|| told.elapsed() > Duration::from_millis(350));
-    one.write_all(&part("b0-1.0", 0, "k1")).expect("written");
-    until(|| found(&world) == [Broken::Drained]);
+    wait_until(|| announced.elapsed() > Duration::from_millis(350));
+    one.write_all(&part_frame("b0-1.0", 0, "k1")).expect("written");
+    wait_until(|| violated_rules(&world) == [ViolatedRule::Drained]);
     world.ledger().violations.clear();
     world.send(WorldCommand::SetListed(0, ListedState::Up));
-    reads("\"up\"");
+    read_until("\"up\"");
     world.send(WorldCommand::StopServer(0));
     world.send(WorldCommand::StartServer(0));
-    // Two workers at a fifth and a bit: 0.8 s of work in a second is the limit, 800 parts of 1 ms.
+    // Two workers at a little over a fifth of their speed, times 2: the limit is 0.8 s of work per second, 800 parts of
+    // 1 ms.
     let mut sent = 0;
-    until(|| {
+    wait_until(|| {
         if let Ok(mut one) = TcpStream::connect(world.tile_address(0)) {
-            let many: Vec<u8> = (0..10).flat_map(|n| part(&format!("b1-{}.0", sent + n), 0, "x")).collect();
-            // It is reset once the server falls; those that it turned away first are no work.
-            let _ = one.write_all(&many);
+            let parts: Vec<u8> =
+                (0..10).flat_map(|n| part_frame(&format!("b1-{}.0", sent + n), 0, "x")).collect();
+            // The connection is reset once the server crashes. Parts that it rejected before don't count as work.
+            let _ = one.write_all(&parts);
             let mut answers = (0..10).map_while(|_| one.read(&mut [0; 4096]).ok().filter(|read| *read > 0));
             let _ = answers.by_ref().take(1).count();
         }
         sent += 10;
-        found(&world).contains(&Broken::ColdFell)
+        violated_rules(&world).contains(&ViolatedRule::ColdFell)
     });
-    let strain = world.ledger().server_counts.values().map(|counts| counts.cold_load).fold(0.0, f64::max);
-    assert!(strain > 1.0, "{strain}");
+    let cold_load = world.ledger().server_counts.values().map(|counts| counts.cold_load).fold(0.0, f64::max);
+    assert!(cold_load > 1.0, "{cold_load}");
 }
 
-/// What clients see of a broker that does so with each connection.
-fn seen(broker: impl Fn(TcpStream) + Send + 'static) -> Seen {
-    seen_by(false, broker)
+/// What clients observe of a broker that handles each connection with `broker`.
+fn observe(broker: impl Fn(TcpStream) + Send + 'static) -> Seen {
+    observe_with_pooling(false, broker)
 }
 
-/// The same, by clients that may pool their connections.
-fn seen_by(pooled: bool, broker: impl Fn(TcpStream) + Send + 'static) -> Seen {
+/// The same, with clients that may reuse connections.
+fn observe_with_pooling(pooled: bool, broker: impl Fn(TcpStream) + Send + 'static) -> Seen {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
     thread::spawn(move || listener.incoming().flatten().for_each(broker));
@@ -334,17 +341,17 @@
         unruly: 0.0,
     };
     let clients = Clients::start(load, Instant::now()).expect("starts");
-    clients.tell(FrontTell::Front(0, Some(at)));
-    clients.seen().expect("all are answered or given up")
+    clients.tell(ClientCommand::Front(0, Some(at)));
+    clients.seen().expect("all queries have ended")
 }
 
-/// Reads a request to its end, and answers it so.
-fn answers(stream: TcpStream, answer: &str) {
-    answers_next(&stream, answer);
+/// Reads a request, responds with `answer` and closes the connection.
+fn respond_once(stream: TcpStream, answer: &str) {
+    respond_next(&stream, answer);
 }
 
-/// Reads the next request of a connection and answers it so; gives whether there was one.
-fn answers_next(mut stream: &TcpStream, answer: &str) -> bool {
+/// Reads the next request of a connection and responds with `answer`. Returns whether it did.
+fn respond_next(mut stream: &TcpStream, answer: &str) -> bool {
     let (mut request, mut bytes) = (Vec::new(), [0; 4096]);
     while !request.ends_with(b"}") {
         match stream.read(&mut bytes) {
@@ -356,13 +363,13 @@
 }
 
 #[test]
-fn clients_find_a_broker_that_does_not_answer_or_answers_what_no_server_made() {
-    let silent = seen(std::mem::forget);
+fn clients_detect_missing_and_wrong_answers() {
+    let silent = observe(std::mem::forget);
     let offered: u32 = silent.fates.values().map(|fates| fates.offered).sum();
     assert!(offered > 0);
     assert!(silent.unanswered.len() as u32 == offered && silent.unanswered.iter().all(|lost| !lost.closed));
-    let closing = seen(|mut stream| {
-        // What it has read is taken: then it ends the connection.
+    let closing = observe(|mut stream| {
+        // Reads the request, then closes the connection.
         let _ = stream.read(&mut [0; 4096]);
     });
     assert!(closing.unanswered.iter().all(|lost| lost.closed) && !closing.unanswered.is_empty());
@@ -371,27 +378,28 @@
         "{\"full\":false,\"pieces\":[]}",
         "{\"full\":true,\"pieces\":[{\"tablet\":0,\"cell\":\"invented\"},{\"tablet\":1,\"cell\":\"invented\"}]}",
     ] {
-        let seen = seen(move |stream| answers(stream, wrong));
+        let seen = observe(move |stream| respond_once(stream, wrong));
         assert_eq!(seen.wrong.len() as u32, seen.fates.values().map(|f| f.offered).sum::<u32>(), "{wrong}");
     }
 }
 
-// A connection carries request after request, and one that ends under its second is counted as closed.
+// Clients send several requests on a connection, and a request whose connection is closed while it waits counts as
+// closed.
 #[test]
-fn clients_that_pool_reuse_connections_and_count_those_that_end_under_a_request() {
+fn pooling_clients_reuse_connections_and_count_those_closed_during_a_request() {
     let connections = Arc::new(AtomicU32::new(0));
     let counter = connections.clone();
-    let kept = seen_by(true, move |stream| {
+    let kept = observe_with_pooling(true, move |stream| {
         counter.fetch_add(1, Ordering::Relaxed);
-        thread::spawn(move || while answers_next(&stream, "{}") {});
+        thread::spawn(move || while respond_next(&stream, "{}") {});
     });
     let offered: u32 = kept.fates.values().map(|fates| fates.offered).sum();
     assert!(offered > 1 && kept.unanswered.is_empty(), "{offered} queries, {:?}", kept.unanswered);
     let used = connections.load(Ordering::Relaxed);
     assert!(used < offered, "{used} connections for {offered} queries");
-    let closing = seen_by(true, |stream| {
+    let closing = observe_with_pooling(true, |stream| {
         thread::spawn(move || {
-            answers_next(&stream, "{}");
+            respond_next(&stream, "{}");
             let _ = (&stream).read(&mut [0; 4096]);
         });
     });
--- a/src/bin/badgergauge/fleet.rs
+++ b/src/bin/badgergauge/fleet.rs
@@ -130,7 +130,7 @@
         "{} brokers, {} servers, {} s, seed {}",
         scenario.brokers, scenario.servers, scenario.seconds, scenario.seed
     );
-    for (at, action) in &schedule.acts {
+    for (at, action) in &schedule.actions {
         println!("{:>8.3} s  {action:?}", at.as_secs_f64());
     }
     Ok(EXIT_OK)
--- a/src/bin/badgergauge/soak.rs
+++ b/src/bin/badgergauge/soak.rs
@@ -64,7 +64,7 @@
                 return Ok(());
             }
             let outcome = run_seed(arguments, &program, seed)?;
-            broken.fetch_add(u64::from(!outcome.broken.is_empty()), Ordering::Relaxed);
+            broken.fetch_add(u64::from(!outcome.unexplained.is_empty()), Ordering::Relaxed);
             println!("{}", format_outcome(seed, &outcome));
         }
     };
@@ -83,8 +83,8 @@
     let dir = arguments.out.join(format!("seed-{seed}"));
     let mut options = Options::new(program, &dir, &format!("seed-{seed}"));
     options.trace = arguments.trace;
-    let outcome = soak::play(seed, &options)?;
-    if outcome.broken.is_empty() && arguments.seed.is_none() {
+    let outcome = soak::run(seed, &options)?;
+    if outcome.unexplained.is_empty() && arguments.seed.is_none() {
         fs::remove_dir_all(&dir)?;
     }
     Ok(outcome)
@@ -97,12 +97,12 @@
         "seed {seed}: {} brokers, {} servers; {}; ",
         record.brokers,
         record.servers,
-        outcome.drawn.events.join(", ")
+        outcome.scenario.events.join(", ")
     );
-    if outcome.broken.is_empty() {
+    if outcome.unexplained.is_empty() {
         line += "no rule broken";
     }
-    for (n, broken) in outcome.broken.iter().enumerate() {
+    for (n, broken) in outcome.unexplained.iter().enumerate() {
         let separator = if n > 0 { " | " } else { "" };
         let _ = write!(line, "{separator}{:.3} s {}: {}", broken.at, broken.rule, broken.what);
     }
--- a/tests/fleet/soak.rs
+++ b/tests/fleet/soak.rs
@@ -12,11 +12,16 @@
     let dir = std::env::temp_dir().join(format!("badgergauge-soak-{}-{seed}", std::process::id()));
     let options = Options::new(Path::new(env!("CARGO_BIN_EXE_badgergauge")), &dir, "soak");
     let place = Place::take();
-    let outcome = soak::play(seed, &options).expect("the harness does its part");
+    let outcome = soak::run(seed, &options).expect("the harness does its part");
     drop(place);
     let _ = std::fs::remove_dir_all(&dir);
     let late = outcome.record.lateness_ms;
-    assert!(outcome.broken.is_empty(), "{:?}, {late} ms late\n{}", outcome.broken, outcome.drawn.text);
+    assert!(
+        outcome.unexplained.is_empty(),
+        "{:?}, {late} ms late\n{}",
+        outcome.unexplained,
+        outcome.scenario.text
+    );
 }
 
 /// A test for each seed.
