--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -446,7 +446,7 @@
     }
 
     #[test]
-    fn kills_and_pauses_excuse_unanswered_requests_spans() {
+    fn kills_and_pauses_excuse_unanswered_requests() {
         let schedule = schedule(
             3,
             "  - {at: 2, pause: {share: 1, for_s: 1}}\n  - {at: 5, kill: {share: 1, back_s: 1}}\n",
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -21,9 +21,9 @@
 
 /// A server behind a proxy: listener, proxy, link and the proxy's address.
 fn proxied_server() -> (TcpListener, Proxy, Link, SocketAddr) {
-    let server = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let server = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let mut builder = Builder::new(1);
-    let (link, at) = builder.tcp(server.local_addr().expect("bound")).expect("a port");
+    let (link, at) = builder.tcp(server.local_addr().expect("bound")).expect("a free port");
     (server, builder.start().expect("starts"), link, at)
 }
 
@@ -63,35 +63,35 @@
 #[test]
 fn a_cut_stops_traffic_and_new_connections_and_can_be_undone() {
     let (server, proxy, link, at) = proxied_server();
-    let (mut client, other) = connect(&server, at);
+    let (mut client, peer) = connect(&server, at);
     client.write_all(b"a").expect("written");
-    assert_eq!(read_byte(&other, TIMEOUT).expect("received"), b'a');
+    assert_eq!(read_byte(&peer, TIMEOUT).expect("received"), b'a');
     proxy.send(ProxyCommand::SetRule(vec![link], Rule::cut()));
     // Connections succeed until the proxy has carried out the command; once one times out, the cut is in effect.
     wait_until(|| TcpStream::connect_timeout(&at, NO_DATA_WAIT).is_err());
     client.write_all(b"b").expect("buffered by the system");
-    assert!(receives_nothing(&other) && receives_nothing(&client), "data passed a cut link");
+    assert!(receives_nothing(&peer) && receives_nothing(&client), "data passed a cut link");
     proxy.send(ProxyCommand::SetRule(vec![link], Rule::default()));
-    assert_eq!(read_byte(&other, TIMEOUT).expect("queued data arrives"), b'b');
+    assert_eq!(read_byte(&peer, TIMEOUT).expect("queued data arrives"), b'b');
     wait_until(|| TcpStream::connect_timeout(&at, TIMEOUT).is_ok());
 }
 
 #[test]
 fn a_one_way_cut_leaves_the_other_direction_open() {
     let (server, proxy, link, at) = proxied_server();
-    let (mut client, mut other) = connect(&server, at);
+    let (mut client, mut peer) = connect(&server, at);
     proxy.send(ProxyCommand::SetRule(vec![link], Rule { cut_back: true, ..Rule::default() }));
     wait_until(|| TcpStream::connect_timeout(&at, NO_DATA_WAIT).is_err());
     client.write_all(b"a").expect("written");
-    assert_eq!(read_byte(&other, TIMEOUT).expect("received"), b'a');
-    other.write_all(b"b").expect("buffered by the system");
+    assert_eq!(read_byte(&peer, TIMEOUT).expect("received"), b'a');
+    peer.write_all(b"b").expect("buffered by the system");
     assert!(receives_nothing(&client), "data passed a cut link");
 }
 
 #[test]
 fn a_link_that_is_down_resets_and_refuses_until_it_is_up_again_at_its_address() {
     let (server, proxy, link, at) = proxied_server();
-    let (client, _other) = connect(&server, at);
+    let (client, _peer) = connect(&server, at);
     proxy.send(ProxyCommand::Down(vec![link]));
     assert_eq!(read_byte(&client, TIMEOUT).map_err(|error| error.kind()), Err(ErrorKind::ConnectionReset));
     let refused = TcpStream::connect(at).map(drop).map_err(|error| error.kind());
@@ -106,35 +106,35 @@
     let rule =
         Rule { delay: Duration::from_millis(40), jitter: Duration::from_millis(20), ..Rule::default() };
     proxy.send(ProxyCommand::SetRule(vec![link], rule));
-    let (mut client, mut other) = connect(&server, at);
+    let (mut client, mut peer) = connect(&server, at);
     let start = Instant::now();
     for n in 0..50_u8 {
         client.write_all(&[n]).expect("written");
     }
     let mut received = [0; 50];
-    other.read_exact(&mut received).expect("all received");
+    peer.read_exact(&mut received).expect("all received");
     assert!(start.elapsed() >= rule.delay, "{:?}", start.elapsed());
     assert!(received.iter().enumerate().all(|(n, byte)| usize::from(*byte) == n), "{received:?}");
     proxy.send(ProxyCommand::SetRule(vec![link], Rule { rate: Some(10_000), ..Rule::default() }));
-    let (mut client, mut other) = connect(&server, at);
+    let (mut client, mut peer) = connect(&server, at);
     let start = Instant::now();
     let writer = thread::spawn(move || client.write_all(&[7; 3000]).map(|()| client));
-    other.read_exact(&mut [0; 3000]).expect("all received");
+    peer.read_exact(&mut [0; 3000]).expect("all received");
     assert!(start.elapsed() >= Duration::from_millis(200), "{:?} for 0.3 s of bytes", start.elapsed());
     drop(writer.join().expect("written"));
     proxy.send(ProxyCommand::SetRule(vec![link], Rule { reset: 1.0, ..Rule::default() }));
-    let (mut client, _other) = connect(&server, at);
+    let (mut client, _peer) = connect(&server, at);
     client.write_all(b"a").expect("buffered by the system");
     assert_eq!(read_byte(&client, TIMEOUT).map_err(|error| error.kind()), Err(ErrorKind::ConnectionReset));
 }
 
 #[test]
 fn datagrams_arrive_from_the_address_that_their_receiver_knows_and_can_be_dropped() {
-    let bind = || UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let bind = || UdpSocket::bind("127.0.0.1:0").expect("a free port");
     let (one, other) = (bind(), bind());
     let at = |socket: &UdpSocket| socket.local_addr().expect("bound");
     let mut builder = Builder::new(1);
-    let [(forward, to), (_, back)] = builder.udp(at(&one), at(&other)).expect("ports");
+    let [(forward, to), (_, back)] = builder.udp(at(&one), at(&other)).expect("free ports");
     let proxy = builder.start().expect("starts");
     let mut bytes = [0; 16];
     other.set_read_timeout(Some(TIMEOUT)).expect("set");
@@ -164,7 +164,7 @@
         load_window: Duration::from_secs(1),
         restart_delay: Duration::from_millis(50),
     };
-    let placed = |n: usize| ServerConfig {
+    let server_config = |n: usize| ServerConfig {
         name: format!("t{n}"),
         zone: "z".into(),
         cell: n as u32,
@@ -172,7 +172,7 @@
     };
     let config = WorldConfig {
         parameters,
-        servers: (0..servers).map(placed).collect(),
+        servers: (0..servers).map(server_config).collect(),
         brokers,
         cells: servers as u32,
         width: 1,
@@ -203,7 +203,7 @@
 }
 
 fn violated_rules(world: &World) -> Vec<ViolatedRule> {
-    world.ledger().violations.iter().map(|breach| breach.rule).collect()
+    world.ledger().violations.iter().map(|violation| violation.rule).collect()
 }
 
 // Sends the stand-ins what a faulty broker would send: every violation is detected, and correct behaviour is not
@@ -317,7 +317,7 @@
 
 /// The same, with clients that may reuse connections.
 fn observe_with_pooling(pooled: bool, broker: impl Fn(TcpStream) + Send + 'static) -> Seen {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let at = listener.local_addr().expect("bound");
     thread::spawn(move || listener.incoming().flatten().for_each(broker));
     let class = Class {
