--- a/crates/fleet/benches/proxy.rs
+++ b/crates/fleet/benches/proxy.rs
@@ -1,5 +1,5 @@
-//! Overhead of the fault proxy: throughput and round-trip time through it and over a direct connection, measured
-//! alternately in one run. Run with `cargo bench -p badgergauge-fleet --bench proxy`.
+//! Overhead of the fault proxy: throughput and round-trip time through it and over a direct connection,
+//! measured alternately in one run. Run with `cargo bench -p badgergauge-fleet --bench proxy`.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/fleet/src/proxy.rs
+++ b/crates/fleet/src/proxy.rs
@@ -1,5 +1,6 @@
-//! The fault proxy: forwards TCP connections and UDP datagrams between processes, and delays, drops, cuts, resets or
-//! throttles them per link on command. It runs on one thread with one poller; its random choices come from a seed.
+//! The fault proxy: forwards TCP connections and UDP datagrams between processes, and delays, drops, cuts,
+//! resets or throttles them per link on command. It runs on one thread with one poller; its random choices
+//! come from a seed.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -20,8 +21,8 @@
 const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 /// Backlog of a listener whose link is not cut.
 const BACKLOG: i32 = 1024;
-/// Number of connections that the proxy opens to its own listener to fill the accept queue at a backlog of 0. Further
-/// connection attempts then time out, as with an unreachable machine.
+/// Number of connections that the proxy opens to its own listener to fill the accept queue at a backlog of 0.
+/// Further connection attempts then time out, as with an unreachable machine.
 const QUEUE_FILLERS: usize = 2;
 /// Longest datagram that is forwarded, in bytes; longer ones are truncated.
 const MAX_DATAGRAM_BYTES: usize = 2048;
@@ -35,7 +36,8 @@
 pub struct Rule {
     /// Delay of everything that is forwarded.
     pub delay: Duration,
-    /// Upper bound of a random additional delay, drawn for each chunk or datagram. Connections keep their order.
+    /// Upper bound of a random additional delay, drawn for each chunk or datagram. Connections keep their
+    /// order.
     pub jitter: Duration,
     /// Share of the datagrams that are dropped.
     pub loss: f64,
@@ -43,8 +45,8 @@
     pub reset: f64,
     /// Bytes per second read from each side; unlimited if none.
     pub rate: Option<u64>,
-    /// Whether nothing is forwarded from the side that connected to the other. Bytes sent meanwhile stay queued, as in a
-    /// partitioned network.
+    /// Whether nothing is forwarded from the side that connected to the other. Bytes sent meanwhile stay
+    /// queued, as in a partitioned network.
     pub cut_there: bool,
     /// Whether nothing is forwarded back to the side that connected.
     pub cut_back: bool,
@@ -66,7 +68,8 @@
 pub enum ProxyCommand {
     /// Sets the rule of links.
     SetRule(Vec<Link>, Rule),
-    /// Takes links down, as if the process behind them had ended: resets their connections and refuses new ones.
+    /// Takes links down, as if the process behind them had ended: resets their connections and refuses new
+    /// ones.
     Down(Vec<Link>),
     /// Brings links up again.
     Up(Vec<Link>),
@@ -90,8 +93,8 @@
         listener: Option<TcpListener>,
         to: SocketAddr,
     },
-    /// Datagrams received on the socket are sent to `to` from the socket of the `reverse` link, which is the address
-    /// that the receiver knows the sender by.
+    /// Datagrams received on the socket are sent to `to` from the socket of the `reverse` link, which is the
+    /// address that the receiver knows the sender by.
     Udp {
         socket: UdpSocket,
         reverse: usize,
@@ -99,8 +102,8 @@
     },
 }
 
-/// Opens a listener at an address that a [`HeldPort`] keeps bound, so that no other process gets the port while nothing
-/// listens there.
+/// Opens a listener at an address that a [`HeldPort`] keeps bound, so that no other process gets the port
+/// while nothing listens there.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_port(true)?;
@@ -129,8 +132,9 @@
         Ok((Link(self.routes.len() - 1), address))
     }
 
-    /// Adds two links for datagrams between two receivers, one per direction. Returns the link from the first to the
-    /// second with the address that the first sends to, then the reverse link with the address that the second sends to.
+    /// Adds two links for datagrams between two receivers, one per direction. Returns the link from the first
+    /// to the second with the address that the first sends to, then the reverse link with the address that
+    /// the second sends to.
     ///
     /// # Errors
     ///
@@ -489,8 +493,8 @@
 }
 
 impl Flow {
-    /// Reads what is available, as far as buffer and rate allow. Returns whether the connection is broken or is to be
-    /// reset.
+    /// Reads what is available, as far as buffer and rate allow. Returns whether the connection is broken or
+    /// is to be reset.
     fn read(&mut self, mut from: &TcpStream, now: Duration, rule: &Rule, rng: &mut ChaCha8Rng) -> bool {
         let mut buffer = [0; 16 * 1024];
         while !self.ended && self.buffered_bytes < MAX_BUFFERED_BYTES && self.read_at <= now {
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -1,6 +1,8 @@
-//! The record of a run: counters of the whole fleet by second, violated rules, and figures derived from them. No I/O.
+//! The record of a run: counters of the whole fleet by second, violated rules, and figures derived from them.
+//! No I/O.
 //!
-//! Times in [`Record`] count in seconds from the clients' start; the other times count from the start of the run.
+//! Times in [`Record`] count in seconds from the clients' start; the other times count from the start of the
+//! run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,8 +15,8 @@
 
 /// Service counts as full again from this share of the steady one on.
 pub const FULL_SERVICE_SHARE: f64 = 0.95;
-/// A request counts as not accepted if its connection was closed without an answer because its broker stopped listening.
-/// More than one request in this many is a violation.
+/// A request counts as not accepted if its connection was closed without an answer because its broker stopped
+/// listening. More than one request in this many is a violation.
 const REQUESTS_PER_CLOSED: usize = 200;
 /// A killed broker loses the requests that it received up to this long before and had not answered.
 const EXCUSED_BEFORE: Duration = Duration::from_secs(5);
@@ -160,8 +162,8 @@
     pub seed: u64,
     /// Time of the first fault; none if there was no fault.
     pub fault_at: Option<f64>,
-    /// Seconds from the first fault until the fleet served its steady share again; none if it did not, or if there was
-    /// no fault.
+    /// Seconds from the first fault until the fleet served its steady share again; none if it did not, or if
+    /// there was no fault.
     pub full_service_s: Option<f64>,
     /// Share of the queries answered completely in time before the first fault.
     pub steady: f64,
@@ -276,8 +278,8 @@
     observations.drains.iter().map(to_record).collect()
 }
 
-/// Requests and connections that brokers refused after the start of their first upgrade or drain. Brokers that the
-/// schedule also kills or restarts are left out, as they may refuse some.
+/// Requests and connections that brokers refused after the start of their first upgrade or drain. Brokers
+/// that the schedule also kills or restarts are left out, as they may refuse some.
 fn refusals(seen: &Seen, schedule: &Schedule, offset: Duration) -> Vec<Violation> {
     let seamless_from = |broker: usize| {
         let ends = |action: &Action| matches!(action, Action::Kill(b) | Action::Restart(b) if *b == broker);
@@ -300,8 +302,9 @@
     refused.map(violation).collect()
 }
 
-/// The violations of a run, in time order, without those that the schedule's faults explain. The clients started at
-/// `offset`. In the spans of `frame_faults`, as start and end since the clients' start, the network may truncate frames.
+/// The violations of a run, in time order, without those that the schedule's faults explain. The clients
+/// started at `offset`. In the spans of `frame_faults`, as start and end since the clients' start, the
+/// network may truncate frames.
 pub fn violations(
     ledger: &Ledger,
     seen: &Seen,
@@ -432,8 +435,9 @@
     numbered.collect()
 }
 
-/// The share of queries answered completely in time before the first fault, and the seconds from that fault until the
-/// fleet served [`FULL_SERVICE_SHARE`] of it again in each of `hold` consecutive seconds, or of those left in the run.
+/// The share of queries answered completely in time before the first fault, and the seconds from that fault
+/// until the fleet served [`FULL_SERVICE_SHARE`] of it again in each of `hold` consecutive seconds, or of
+/// those left in the run.
 pub fn full_service(rows: &[Row], fault_at: Option<f64>, hold: usize) -> (f64, Option<f64>) {
     let active: Vec<&Row> = rows.iter().filter(|row| row.second >= 0 && row.offered > 0).collect();
     let mean = |rows: &[&Row]| {
@@ -506,8 +510,8 @@
         assert_eq!(violated_rules(&ledger, &seen(Vec::new())), [Rule::SecondCopy]);
     }
 
-    // During an upgrade or a drain no request may be closed or refused. Before it, and at brokers that are also killed,
-    // some may be.
+    // During an upgrade or a drain no request may be closed or refused. Before it, and at brokers that are
+    // also killed, some may be.
     #[test]
     fn upgrades_and_drains_must_not_close_or_refuse_requests() {
         let refusal = |broker, at, status| Refusal { at, broker, status };
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -163,7 +163,8 @@
 /// A line of a plot: its colour, and its value in each second.
 type Line = (RGBColor, fn(&Row) -> f64);
 
-/// Plots a run over time as SVG: queries, handshakes, calls for the server list, and the load of cold servers.
+/// Plots a run over time as SVG: queries, handshakes, calls for the server list, and the load of cold
+/// servers.
 ///
 /// # Errors
 ///
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios as operators write them: the fleet, its load, and a timeline of faults. The whole file is checked, and every
-//! error is reported with its line and key.
+//! Scenarios as operators write them: the fleet, its load, and a timeline of faults. The whole file is
+//! checked, and every error is reported with its line and key.
 
 mod checks;
 mod file;
@@ -67,13 +67,13 @@
     pub pooled: bool,
     /// Share of the queries that belong to an unsafe class, whose parts must not run twice.
     pub unsafe_share: f64,
-    /// Share of the queries whose clients disconnect before the answer, write slowly, or stop in the middle of a
-    /// request.
+    /// Share of the queries whose clients disconnect before the answer, write slowly, or stop in the middle
+    /// of a request.
     pub unruly: f64,
     /// Window in which servers drop a duplicate of a keyed query.
     pub idempotency_window: Duration,
-    /// Whether a broker that was told to end is killed as early as the platform may kill it; otherwise it gets longer,
-    /// and counts as hung if it has not ended by then.
+    /// Whether a broker that was told to end is killed as early as the platform may kill it; otherwise it
+    /// gets longer, and counts as hung if it has not ended by then.
     pub kills_early: bool,
     /// The timeline, in the order of the file.
     pub events: Vec<Event>,
@@ -109,8 +109,8 @@
     pub fault: Fault,
 }
 
-/// What an event does. Variants are named after the keys of the file. `share` is a share of all brokers or servers,
-/// `interval` the time between two of them, and `duration` the time until the fault is removed.
+/// What an event does. Variants are named after the keys of the file. `share` is a share of all brokers or
+/// servers, `interval` the time between two of them, and `duration` the time until the fault is removed.
 #[allow(missing_docs)] // The variants' comments describe their fields.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
@@ -124,22 +124,23 @@
     Drain { brokers: Brokers, interval: Duration, duration: Duration },
     /// Pauses brokers (SIGSTOP, SIGCONT).
     Pause { share: f64, duration: Duration },
-    /// Delays brokers right before every n-th of the writes that withdraw a part, as a busy machine may do between
-    /// the reading of a clock and a system call.
+    /// Delays brokers right before every n-th of the writes that withdraw a part, as a busy machine may do
+    /// between the reading of a clock and a system call.
     Hold { share: f64, delay: Duration, every_nth: u64, duration: Duration },
-    /// Wipes the brokers' stores or truncates them to half their length, where they have one. A running broker keeps its
-    /// store open, so this is meant for brokers that were killed.
+    /// Wipes the brokers' stores or truncates them to half their length, where they have one. A running
+    /// broker keeps its store open, so this is meant for brokers that were killed.
     Stores { share: f64, truncate: bool },
     /// Moves discovery to another address: brokers get a new configuration file and SIGHUP.
     Reload,
-    /// Sends brokers these signals, `interval` apart. After a SIGTERM a broker is started again once it has ended.
+    /// Sends brokers these signals, `interval` apart. After a SIGTERM a broker is started again once it has
+    /// ended.
     Signals { share: f64, signals: Vec<Signal>, interval: Duration },
     /// Opens `clients` connections to each of the brokers, on which no request is sent.
     Crowd { share: f64, clients: usize, duration: Duration },
     /// Makes a zone's servers unreachable, without closing connections; they come back cold.
     LoseZone { zone: usize, duration: Duration },
-    /// Separates a zone's brokers and servers from those of the other zones. With `one_way`, what brokers send across
-    /// still arrives, but nothing comes back.
+    /// Separates a zone's brokers and servers from those of the other zones. With `one_way`, what brokers
+    /// send across still arrives, but nothing comes back.
     Partition { zone: usize, one_way: bool, duration: Duration },
     /// Replaces servers by new ones, one after the other, all `within` this time.
     Replace { share: f64, within: Duration },
--- a/crates/fleet/src/scenario/checks.rs
+++ b/crates/fleet/src/scenario/checks.rs
@@ -7,8 +7,8 @@
 use super::file::BrokerSelection;
 use super::{Brokers, DRAIN_TIME_LIMIT, ScenarioError};
 
-/// Checks values and collects the errors. A value that is out of range is reported and replaced by one in range, so that
-/// the rest of the file is checked too.
+/// Checks values and collects the errors. A value that is out of range is reported and replaced by one in
+/// range, so that the rest of the file is checked too.
 pub(super) struct Checks<'a> {
     pub(super) file: &'a str,
     pub(super) errors: Vec<ScenarioError>,
@@ -38,8 +38,8 @@
         Duration::from_secs_f64(self.number(key, value, 0.0, 3600.0))
     }
 
-    /// A drain's duration. It has to exceed the time limit for closing the clients' connections, which is checked
-    /// during the drain.
+    /// A drain's duration. It has to exceed the time limit for closing the clients' connections, which is
+    /// checked during the drain.
     pub(super) fn drain_duration(&mut self, key: &str, line: u64, value: Option<&Spanned<f64>>) -> Duration {
         let duration = self.required_seconds(key, line, value);
         if let Some(value) = value
--- a/crates/fleet/src/scenario/tests.rs
+++ b/crates/fleet/src/scenario/tests.rs
@@ -20,7 +20,8 @@
     assert_eq!(scenario.events, [kill]);
 }
 
-// Every scenario that the repository ships is valid, its events expand to actions, and these end before the clients do.
+// Every scenario that the repository ships is valid, its events expand to actions, and these end before the
+// clients do.
 #[test]
 fn the_scenarios_of_the_repository_are_valid() {
     let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -1,5 +1,5 @@
-//! The schedule of a run: a scenario's events expanded into single actions, in time order. No I/O; the same scenario and
-//! seed give the same actions.
+//! The schedule of a run: a scenario's events expanded into single actions, in time order. No I/O; the same
+//! scenario and seed give the same actions.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 use crate::proxy::Rule;
 use crate::scenario::{Brokers, Fault, Scenario, ServerBehaviour, Signal};
 
-/// Time for which a server that is being replaced is listed as draining before it is removed from the list; its
-/// process ends after the same time again.
+/// Time for which a server that is being replaced is listed as draining before it is removed from the list;
+/// its process ends after the same time again.
 pub const SERVER_DRAIN_TIME: Duration = Duration::from_millis(1500);
 
-/// A single action of the runner. Brokers and servers are given by index. `fleet check` prints the `Debug` output, so
-/// variants keep their names.
+/// A single action of the runner. Brokers and servers are given by index. `fleet check` prints the `Debug`
+/// output, so variants keep their names.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Kills a broker's process with SIGKILL.
@@ -61,8 +61,8 @@
     ResetLinks(Links),
 }
 
-/// A command to the stand-ins. `fleet check` prints it through `Debug`, with its own names for the commands, which stay
-/// the same when the stand-ins' variants are renamed.
+/// A command to the stand-ins. `fleet check` prints it through `Debug`, with its own names for the commands,
+/// which stay the same when the stand-ins' variants are renamed.
 #[derive(Clone, Copy, PartialEq)]
 pub struct StandInCommand(pub WorldCommand);
 
@@ -147,8 +147,8 @@
 pub struct Schedule {
     /// The actions, with their times since the clients' start.
     pub actions: Vec<(Duration, Action)>,
-    /// The cells of the servers that are added during the run, in the order in which they start. Their indices follow
-    /// those of the initial servers.
+    /// The cells of the servers that are added during the run, in the order in which they start. Their
+    /// indices follow those of the initial servers.
     pub added_servers: Vec<usize>,
 }
 
@@ -254,7 +254,8 @@
                 let lost: Vec<usize> =
                     (0..servers).filter(|s| zone_of(*s, scenario.zones) == *zone).collect();
                 push(at, Action::Links(Links::Servers(lost.clone()), Rule::cut()));
-                // The servers restart while they are unreachable, so their old connections are reset when the links are restored.
+                // The servers restart while they are unreachable, so their old connections are reset when the
+                // links are restored.
                 lost.iter().for_each(|server| {
                     push(at + *duration, Action::World(StandInCommand(WorldCommand::StopServer(*server))))
                 });
@@ -321,7 +322,8 @@
                     Action::World(StandInCommand(WorldCommand::DelayListUpdates(Duration::ZERO))),
                 );
             }
-            // The stand-ins' times count from their own start, which is before the clients'; the runner adds the difference.
+            // The stand-ins' times count from their own start, which is before the clients'; the runner adds
+            // the difference.
             Fault::TurnAway { duration } => {
                 push(at, Action::World(StandInCommand(WorldCommand::RejectCallsUntil(at + *duration))))
             }
@@ -341,8 +343,8 @@
                 push(at + *duration, Action::Links(Links::All, Rule::default()));
             }
         }
-        // Events share one random stream: this draw keeps apart the streams of neighbouring events, also of those that
-        // draw nothing themselves.
+        // Events share one random stream: this draw keeps apart the streams of neighbouring events, also of
+        // those that draw nothing themselves.
         let _: u64 = rng.random();
     }
 
@@ -357,7 +359,8 @@
         self.actions.last().map_or(Duration::ZERO, |(at, _)| *at)
     }
 
-    /// The spans, as start and end, in which a broker may leave requests unanswered because it was killed or paused.
+    /// The spans, as start and end, in which a broker may leave requests unanswered because it was killed or
+    /// paused.
     pub fn excused_spans(&self, broker: usize) -> Vec<(Duration, Duration)> {
         let mut spans = Vec::new();
         for (at, action) in &self.actions {
--- a/crates/fleet/src/soak.rs
+++ b/crates/fleet/src/soak.rs
@@ -1,5 +1,5 @@
-//! Random scenarios: generates a fleet, its load and a series of overlapping events from a seed. A generated scenario is
-//! the text of a scenario file, so that it can be kept, read and run again.
+//! Random scenarios: generates a fleet, its load and a series of overlapping events from a seed. A generated
+//! scenario is the text of a scenario file, so that it can be kept, read and run again.
 
 use std::fmt::Write;
 use std::io;
@@ -15,8 +15,8 @@
 
 /// How long clients send queries, in seconds.
 const LOAD_SECONDS: u64 = 9;
-/// The rule whose violation is explained by faults of servers, discovery or the network, as brokers refuse what they
-/// can't serve.
+/// The rule whose violation is explained by faults of servers, discovery or the network, as brokers refuse
+/// what they can't serve.
 const EXPLAINED_BY_FAULTS: &str = "Refused";
 /// Values of the `manner` key.
 const SERVER_BEHAVIOURS: [&str; 6] = ["break", "turn_away", "swallow", "hang", "slow", "spoil"];
@@ -88,7 +88,8 @@
         );
     }
 
-    /// Adds one or two events that restart brokers. They may overlap, also while an earlier process is still ending.
+    /// Adds one or two events that restart brokers. They may overlap, also while an earlier process is still
+    /// ending.
     fn add_restarts(&mut self, start_delay: f64) {
         for _ in 0..self.rng.random_range(1..=2) {
             let (at, every) = (start_delay + self.between(0.5, 4.0), self.between(0.5, 2.0));
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Adds upgrades or drains of brokers, possibly with SIGHUPs in the meantime; clients must not notice these.
+    /// Adds upgrades or drains of brokers, possibly with SIGHUPs in the meantime; clients must not notice
+    /// these.
     fn add_seamless_events(&mut self, start_delay: f64) {
         let (at, every, share) =
             (start_delay + self.between(0.5, 3.0), self.between(0.8, 2.0), self.between(0.3, 0.8));
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -1,5 +1,6 @@
-//! The fault proxy, the stand-ins' checks and the clients' checks on real sockets: each fault has its effect, and each
-//! check detects a faulty peer. Timeouts only bound how long a failing test takes; no result depends on speed.
+//! The fault proxy, the stand-ins' checks and the clients' checks on real sockets: each fault has its effect,
+//! and each check detects a faulty peer. Timeouts only bound how long a failing test takes; no result depends
+//! on speed.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -67,7 +68,8 @@
     client.write_all(b"a").expect("written");
     assert_eq!(read_byte(&peer, TIMEOUT).expect("received"), b'a');
     proxy.send(ProxyCommand::SetRule(vec![link], Rule::cut()));
-    // Connections succeed until the proxy has carried out the command; once one times out, the cut is in effect.
+    // Connections succeed until the proxy has carried out the command; once one times out, the cut is in
+    // effect.
     wait_until(|| TcpStream::connect_timeout(&at, NO_DATA_WAIT).is_err());
     client.write_all(b"b").expect("buffered by the system");
     assert!(receives_nothing(&peer) && receives_nothing(&client), "data passed a cut link");
@@ -206,8 +208,8 @@
     world.ledger().violations.iter().map(|violation| violation.rule).collect()
 }
 
-// Sends the stand-ins what a faulty broker would send: every violation is detected, and correct behaviour is not
-// reported.
+// Sends the stand-ins what a faulty broker would send: every violation is detected, and correct behaviour is
+// not reported.
 #[test]
 fn stand_ins_detect_a_faulty_brokers_violations() {
     let world = world(2, 1);
@@ -216,8 +218,8 @@
     one.write_all(&part_frame("b0-1.0", 0, "k1")).expect("written");
     assert!(read_response(&mut one).starts_with("ab0-1.0 served "));
     assert_eq!(violated_rules(&world), []);
-    // In flight twice: the server ignores the first part, and it is not withdrawn. The world carries out a command before
-    // it reads what is written after it.
+    // In flight twice: the server ignores the first part, and it is not withdrawn. The world carries out a
+    // command before it reads what is written after it.
     world.send(WorldCommand::SetBehaviour(0, Behaviour::Ignore));
     one.write_all(&part_frame("b0-2.0", 0, "k2")).expect("written");
     one.write_all(&encode_frame("p")).expect("written");
@@ -262,8 +264,8 @@
     });
 }
 
-// A part that is sent to a server after its drain was announced and the grace time is over is reported, and so is a cold
-// server that crashes because it gets more work than it can do.
+// A part that is sent to a server after its drain was announced and the grace time is over is reported, and
+// so is a cold server that crashes because it gets more work than it can do.
 #[test]
 fn violations_of_a_drain_and_crashes_of_a_cold_server_are_reported() {
     let world = world(1, 1);
@@ -291,14 +293,15 @@
     read_until("\"up\"");
     world.send(WorldCommand::StopServer(0));
     world.send(WorldCommand::StartServer(0));
-    // Two workers at a little over a fifth of their speed, times 2: the limit is 0.8 s of work per second, 800 parts of
-    // 1 ms.
+    // Two workers at a little over a fifth of their speed, times 2: the limit is 0.8 s of work per second,
+    // 800 parts of 1 ms.
     let mut sent = 0;
     wait_until(|| {
         if let Ok(mut one) = TcpStream::connect(world.tile_address(0)) {
             let parts: Vec<u8> =
                 (0..10).flat_map(|n| part_frame(&format!("b1-{}.0", sent + n), 0, "x")).collect();
-            // The connection is reset once the server crashes. Parts that it rejected before don't count as work.
+            // The connection is reset once the server crashes. Parts that it rejected before don't count as
+            // work.
             let _ = one.write_all(&parts);
             let mut answers = (0..10).map_while(|_| one.read(&mut [0; 4096]).ok().filter(|read| *read > 0));
             let _ = answers.by_ref().take(1).count();
@@ -383,8 +386,8 @@
     }
 }
 
-// Clients send several requests on a connection, and a request whose connection is closed while it waits counts as
-// closed.
+// Clients send several requests on a connection, and a request whose connection is closed while it waits
+// counts as closed.
 #[test]
 fn pooling_clients_reuse_connections_and_count_those_closed_during_a_request() {
     let connections = Arc::new(AtomicU32::new(0));
