--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -20,7 +20,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use self::answer::{Response, judge, response};
-use crate::pool::{Held, Pool};
+use crate::pool::{ConnectionPool, ConnectionUsage};
 
 /// How long after its time an answer is still waited for: what comes later, or never, is lost.
 const PATIENCE: Duration = Duration::from_millis(1500);
@@ -36,7 +36,7 @@
 /// What running a part twice does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Effect {
+pub enum RetrySafety {
     /// Nothing.
     Safe,
     /// Nothing within a window, as its queries carry an idempotency key.
@@ -55,9 +55,9 @@
     /// The client's time.
     pub deadline: Duration,
     /// What running a part of it twice does.
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     /// The least share of an answer.
-    pub least: f64,
+    pub min_share: f64,
     /// Its share of the queries.
     pub share: f64,
 }
@@ -76,20 +76,20 @@
     /// The classes.
     pub classes: Vec<Class>,
     /// From when, since `base`, and for how long they ask.
-    pub from: Duration,
+    pub start: Duration,
     /// See `from`.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// For everything that is drawn.
     pub seed: u64,
     /// Whether connections are kept for further requests; else each carries one.
     pub pooled: bool,
     /// Share of the queries whose clients are unruly.
-    pub unruly: f64,
+    pub misbehaving_share: f64,
 }
 
 /// Queries by what became of them, by the second in which they were due.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Fates {
+pub struct OutcomeCounts {
     /// Queries that were due.
     pub offered: u32,
     /// Whole answers within the aim.
@@ -142,9 +142,9 @@
 
 /// What clients saw.
 #[derive(Debug)]
-pub struct Seen {
+pub struct ClientResults {
     /// By second.
-    pub fates: BTreeMap<u64, Fates>,
+    pub outcomes: BTreeMap<u64, OutcomeCounts>,
     /// Times of answered queries, from when they were due, in microseconds.
     pub times: Histogram<u64>,
     /// Requests that were never answered.
@@ -159,18 +159,18 @@
 
 /// What the front is told.
 #[derive(Clone, Debug)]
-pub enum Tell {
+pub enum ClientCommand {
     /// A broker is there at this address, or is not there.
-    Front(usize, Option<SocketAddr>),
+    SetBroker(usize, Option<SocketAddr>),
     /// Somebody asks what clients hold of a broker's connections.
-    Hold(usize, Sender<Held>),
+    ConnectionUsage(usize, Sender<ConnectionUsage>),
 }
 
 /// The running clients.
 pub struct Clients {
-    tell: Sender<Tell>,
+    tell: Sender<ClientCommand>,
     waker: Waker,
-    thread: JoinHandle<Seen>,
+    thread: JoinHandle<ClientResults>,
 }
 
 impl Clients {
@@ -190,21 +190,21 @@
     }
 
     /// Tells the front something.
-    pub fn tell(&self, what: Tell) {
+    pub fn send(&self, what: ClientCommand) {
         // Once all are answered nobody hears it, which is fine.
         let _ = self.tell.send(what);
         self.waker.wake();
     }
 
     /// What clients hold of a broker's connections; none once all are answered, or if they do not say in time.
-    pub fn held(&self, broker: usize) -> Option<Held> {
+    pub fn connection_usage(&self, broker: usize) -> Option<ConnectionUsage> {
         let (sender, receiver) = mpsc::channel();
-        self.tell(Tell::Hold(broker, sender));
+        self.send(ClientCommand::ConnectionUsage(broker, sender));
         receiver.recv_timeout(HELD_WITHIN).ok()
     }
 
     /// Whether all have been answered or given up.
-    pub fn are_done(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.thread.is_finished()
     }
 
@@ -213,7 +213,7 @@
     /// # Errors
     ///
     /// When their thread panicked.
-    pub fn seen(self) -> io::Result<Seen> {
+    pub fn join(self) -> io::Result<ClientResults> {
         self.thread.join().map_err(|_| io::Error::other("the clients' thread panicked"))
     }
 }
@@ -301,11 +301,11 @@
     load: Load,
     base: Instant,
     poll: Poll,
-    told: Receiver<Tell>,
+    told: Receiver<ClientCommand>,
     rng: ChaCha8Rng,
     front: Vec<Option<SocketAddr>>,
     tries: HashMap<usize, Try>,
-    pool: Pool,
+    pool: ConnectionPool,
     due: BinaryHeap<Reverse<(Duration, usize)>>,
     what: HashMap<usize, Due>,
     last: usize,
@@ -313,13 +313,19 @@
     asked: u64,
     open: usize,
     asking: bool,
-    seen: Seen,
+    seen: ClientResults,
 }
 
 impl Running {
-    fn new(load: Load, base: Instant, poll: Poll, told: Receiver<Tell>, times: Histogram<u64>) -> Self {
-        let seen = Seen {
-            fates: BTreeMap::new(),
+    fn new(
+        load: Load,
+        base: Instant,
+        poll: Poll,
+        told: Receiver<ClientCommand>,
+        times: Histogram<u64>,
+    ) -> Self {
+        let seen = ClientResults {
+            outcomes: BTreeMap::new(),
             times,
             unanswered: Vec::new(),
             refused: Vec::new(),
@@ -337,7 +343,7 @@
             rng,
             front,
             tries,
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             due,
             what,
             last: 0,
@@ -346,7 +352,7 @@
             asking: true,
             seen,
         };
-        running.arm(running.load.from, Due::Next);
+        running.arm(running.load.start, Due::Next);
         running
     }
 
@@ -357,7 +363,7 @@
         self.last
     }
 
-    fn run(mut self) -> Seen {
+    fn run(mut self) -> ClientResults {
         let mut ready: Vec<Ready> = Vec::new();
         while self.asking || self.open > 0 {
             let pause = self.due.peek().map(|Reverse((at, _))| at.saturating_sub(self.base.elapsed()));
@@ -386,25 +392,25 @@
         self.seen
     }
 
-    fn hear(&mut self, tell: Tell) {
+    fn hear(&mut self, tell: ClientCommand) {
         match tell {
-            Tell::Front(broker, at) => self.front[broker] = at,
-            Tell::Hold(broker, sender) => {
+            ClientCommand::SetBroker(broker, at) => self.front[broker] = at,
+            ClientCommand::ConnectionUsage(broker, sender) => {
                 // Whoever asked may have given up waiting.
-                let _ = sender.send(self.pool.held(&self.poll, broker));
+                let _ = sender.send(self.pool.usage(&self.poll, broker));
             }
         }
     }
 
-    fn fates(&mut self, wish: &Wish) -> &mut Fates {
-        self.seen.fates.entry(wish.due.as_secs()).or_default()
+    fn fates(&mut self, wish: &Wish) -> &mut OutcomeCounts {
+        self.seen.outcomes.entry(wish.due.as_secs()).or_default()
     }
 
     /// A query is due, and then the next one.
     fn next(&mut self, at: Duration) {
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.load.rate;
         let next = at + Duration::from_secs_f64(gap);
-        if next < self.load.from + self.load.lasts {
+        if next < self.load.start + self.load.duration {
             self.arm(next, Due::Next);
         } else {
             self.asking = false;
@@ -421,7 +427,8 @@
         // Neighbours, as a map's window asks them.
         let first = self.rng.random_range(0..self.load.blocks);
         let shards = (0..count).map(|n| (first + n) % self.load.blocks).collect();
-        let is_unruly = self.load.unruly > 0.0 && self.rng.random::<f64>() < self.load.unruly;
+        let is_unruly =
+            self.load.misbehaving_share > 0.0 && self.rng.random::<f64>() < self.load.misbehaving_share;
         let wish = Wish {
             habit: if is_unruly { Habit::unruly(&mut self.rng) } else { Habit::Patient },
             due: at,
@@ -442,7 +449,7 @@
     /// The broker that a client goes to: one that the front gives it, or that it has a connection to.
     fn choose(&mut self, wish: &Wish) -> Option<usize> {
         let there: Vec<usize> =
-            (0..self.front.len()).filter(|b| self.front[*b].is_some() || self.pool.has(*b)).collect();
+            (0..self.front.len()).filter(|b| self.front[*b].is_some() || self.pool.has_idle(*b)).collect();
         let fresh: Vec<_> = there.iter().copied().filter(|b| !wish.not.contains(b)).collect();
         let from = if fresh.is_empty() { there } else { fresh };
         let weights: f64 = from.iter().map(|b| self.load.weights[*b]).sum();
@@ -476,19 +483,19 @@
         wish.tries += 1;
         let left = wish.ends.saturating_sub(now);
         // Ends that have come are seen before a broker is chosen for its connections.
-        self.pool.drop_ended(&self.poll);
+        self.pool.remove_closed(&self.poll);
         let Some(broker) = self.choose(&wish) else { return self.not_taken(wish, None) };
         let class = &self.load.classes[wish.class];
-        let query = match class.effect {
-            Effect::Unsafe => format!("{UNSAFE_QUERY}{}", wish.key),
-            Effect::Safe | Effect::Keyed => self.asked.to_string(),
+        let query = match class.retry_safety {
+            RetrySafety::Unsafe => format!("{UNSAFE_QUERY}{}", wish.key),
+            RetrySafety::Safe | RetrySafety::Keyed => self.asked.to_string(),
         };
         let id = format!("b{broker}-{query}-{}-{}", wish.tries, self.last);
         let share = 1.0 / wish.shards.len() as f64;
         let tablets: Vec<String> =
             wish.shards.iter().map(|s| format!("{{\"tablet\":{s},\"fraction\":{share}}}")).collect();
         let body = format!("{{\"tablets\":[{}],\"statement\":\"{}\"}}", tablets.join(","), wish.statement);
-        let keyed = class.effect == Effect::Keyed;
+        let keyed = class.retry_safety == RetrySafety::Keyed;
         let key = if keyed { format!("Idempotency-Key: {}\r\n", wish.key) } else { String::new() };
         let retried = if wish.tries > 1 { "X-Retried: 1\r\n" } else { "" };
         let last = if self.load.pooled { "" } else { "Connection: close\r\n" };
@@ -505,7 +512,7 @@
             self.what.remove(&key);
             return self.not_taken(wish, Some(broker));
         };
-        self.pool.note_request(broker, now);
+        self.pool.record_request(broker, now);
         let (out, bytes) = (out.into_bytes(), Vec::new());
         let ready_to_write = match wish.habit {
             Habit::Patient | Habit::Leaves(_) => out.len(),
@@ -558,7 +565,7 @@
     }
 
     fn ready(&mut self, key: usize) {
-        if self.pool.ended(&self.poll, key) {
+        if self.pool.remove_reported(&self.poll, key) {
             return;
         }
         let Some(attempt) = self.tries.get_mut(&key) else { return };
@@ -587,7 +594,7 @@
         match &how {
             Ended::Answered(response) if self.load.pooled && response.keeps_open => {
                 self.last += 1;
-                self.pool.keep(&self.poll, self.last, broker, stream);
+                self.pool.insert(&self.poll, self.last, broker, stream);
             }
             _ => self.poll.remove(&stream),
         }
@@ -600,7 +607,8 @@
                 fates.lost += 1;
                 fates.closed += u32::from(closed);
             }
-            Ended::Answered(Response { status: 200, body, .. }) => match judge(&wish, &body, class.least) {
+            Ended::Answered(Response { status: 200, body, .. }) => match judge(&wish, &body, class.min_share)
+            {
                 Ok(whole) => {
                     let took = now.saturating_sub(wish.due);
                     let _ = self.seen.times.record(took.as_micros().max(1) as u64);
--- a/crates/fleet/src/load/answer.rs
+++ b/crates/fleet/src/load/answer.rs
@@ -25,7 +25,7 @@
 /// # Errors
 ///
 /// When it holds what no server made for it, or claims to be whole and is not, or holds less than its class may.
-pub(super) fn judge(wish: &Wish, body: &[u8], least: f64) -> Result<bool, String> {
+pub(super) fn judge(wish: &Wish, body: &[u8], min_share: f64) -> Result<bool, String> {
     let body: serde_json::Value = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     let full = body["full"].as_bool().ok_or("`full` is missing")?;
     let pieces = body["pieces"].as_array().ok_or("`pieces` is missing")?;
@@ -44,7 +44,7 @@
     if full != whole {
         return Err(format!("{} of {} parts, and `full` is {full}", shards.len(), wish.shards.len()));
     }
-    if (shards.len() as f64) < least * wish.shards.len() as f64 - 1e-9 {
+    if (shards.len() as f64) < min_share * wish.shards.len() as f64 - 1e-9 {
         return Err(format!(
             "{} of {} parts are less than the class's least",
             shards.len(),
--- a/crates/fleet/src/pool.rs
+++ b/crates/fleet/src/pool.rs
@@ -9,7 +9,7 @@
 
 /// What clients hold of a broker's connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct ConnectionUsage {
     /// Connections without a request.
     pub idle: usize,
     /// When a request last went out to it.
@@ -23,14 +23,14 @@
 
 /// Idle connections, by the key under which the poller knows them; keys grow with time.
 #[derive(Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     idle: BTreeMap<usize, Idle>,
     last_request: BTreeMap<usize, Duration>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Keeps a connection, which is registered with the poller; one that can't be watched is closed.
-    pub fn keep(&mut self, poll: &Poll, key: usize, broker: usize, stream: TcpStream) {
+    pub fn insert(&mut self, poll: &Poll, key: usize, broker: usize, stream: TcpStream) {
         if poll.rearm(&stream, key, true, false).is_ok() {
             self.idle.insert(key, Idle { broker, stream });
         } else {
@@ -41,14 +41,14 @@
     /// Takes the connection to a broker that has been idle longest, so that each carries requests again. Those that
     /// the broker has ended meanwhile are dropped.
     pub fn take(&mut self, poll: &Poll, broker: usize) -> Option<TcpStream> {
-        self.drop_ended(poll);
+        self.remove_closed(poll);
         let key = *self.idle.iter().find(|(_, idle)| idle.broker == broker)?.0;
         self.idle.remove(&key).map(|idle| idle.stream)
     }
 
     /// The poller has reported a key: drops its connection if it is an idle one, since nothing but its end can come.
     /// Gives whether it was one.
-    pub fn ended(&mut self, poll: &Poll, key: usize) -> bool {
+    pub fn remove_reported(&mut self, poll: &Poll, key: usize) -> bool {
         let idle = self.idle.remove(&key);
         if let Some(idle) = &idle {
             poll.remove(&idle.stream);
@@ -57,26 +57,26 @@
     }
 
     /// Whether there is an idle connection to a broker.
-    pub fn has(&self, broker: usize) -> bool {
+    pub fn has_idle(&self, broker: usize) -> bool {
         self.idle.values().any(|idle| idle.broker == broker)
     }
 
     /// A request goes out to a broker.
-    pub fn note_request(&mut self, broker: usize, now: Duration) {
+    pub fn record_request(&mut self, broker: usize, now: Duration) {
         self.last_request.insert(broker, now);
     }
 
     /// What clients hold of a broker's connections, ended ones left out.
-    pub fn held(&mut self, poll: &Poll, broker: usize) -> Held {
-        self.drop_ended(poll);
+    pub fn usage(&mut self, poll: &Poll, broker: usize) -> ConnectionUsage {
+        self.remove_closed(poll);
         let idle = self.idle.values().filter(|idle| idle.broker == broker).count();
-        Held { idle, last_request: self.last_request.get(&broker).copied() }
+        ConnectionUsage { idle, last_request: self.last_request.get(&broker).copied() }
     }
 
     /// Closes the connections that their brokers have ended.
-    pub fn drop_ended(&mut self, poll: &Poll) {
+    pub fn remove_closed(&mut self, poll: &Poll) {
         self.idle.retain(|_, idle| {
-            let ended = is_ended(&idle.stream);
+            let ended = is_closed(&idle.stream);
             if ended {
                 poll.remove(&idle.stream);
             }
@@ -86,7 +86,7 @@
 }
 
 /// Whether an idle connection has ended, or brought bytes that nobody asked for.
-fn is_ended(stream: &TcpStream) -> bool {
+fn is_closed(stream: &TcpStream) -> bool {
     !matches!(stream.peek(&mut [0]).map_err(|error: io::Error| error.kind()), Err(ErrorKind::WouldBlock))
 }
 
@@ -101,27 +101,27 @@
     fn idle_connections_are_reused_oldest_first_and_ended_ones_are_not() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = listener.local_addr().expect("bound");
-        let (poll, mut pool) = (Poll::new().expect("a poller"), Pool::default());
+        let (poll, mut pool) = (Poll::new().expect("a poller"), ConnectionPool::default());
         let mut others = Vec::new();
         for key in 1..=3 {
             let stream = badgergauge_poll::connect(at).expect("begins");
             others.push(listener.accept().expect("comes").0);
             poll.add(&stream, key, true, false).expect("registered");
-            pool.keep(&poll, key, 7, stream);
+            pool.insert(&poll, key, 7, stream);
         }
-        assert!(pool.has(7) && !pool.has(6));
+        assert!(pool.has_idle(7) && !pool.has_idle(6));
         drop(others.remove(0));
         let start = Instant::now();
-        while pool.held(&poll, 7).idle == 3 {
+        while pool.usage(&poll, 7).idle == 3 {
             assert!(start.elapsed() < Duration::from_secs(20), "the end never comes");
             std::thread::yield_now();
         }
         let taken = pool.take(&poll, 7).expect("two are left");
         assert_eq!(taken.local_addr().expect("up"), others[0].peer_addr().expect("up"));
         poll.remove(&taken);
-        pool.note_request(7, Duration::from_secs(2));
-        let held = Held { idle: 1, last_request: Some(Duration::from_secs(2)) };
-        assert_eq!(pool.held(&poll, 7), held);
-        assert!(pool.ended(&poll, 3) && !pool.ended(&poll, 3) && !pool.has(7));
+        pool.record_request(7, Duration::from_secs(2));
+        let held = ConnectionUsage { idle: 1, last_request: Some(Duration::from_secs(2)) };
+        assert_eq!(pool.usage(&poll, 7), held);
+        assert!(pool.remove_reported(&poll, 3) && !pool.remove_reported(&poll, 3) && !pool.has_idle(7));
     }
 }
--- a/crates/fleet/src/process.rs
+++ b/crates/fleet/src/process.rs
@@ -14,33 +14,33 @@
 
 /// What the log of a process says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum LogEvent {
     /// It listens to clients here.
-    Listens(SocketAddr),
+    Listening(SocketAddr),
     /// A warning or an error.
-    Warns(String),
+    Warning(String),
     /// Its log has ended, and so has it, or it will.
     Ended,
 }
 
-/// Something that a broker's log said: which broker, which of its starts, and what.
+/// Something that a broker's log event: which broker, which of its starts, and what.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Note {
+pub struct ProcessEvent {
     /// The broker.
     pub broker: usize,
     /// Which of its starts.
     pub run: u32,
     /// What.
-    pub said: Said,
+    pub event: LogEvent,
 }
 
 /// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Use {
+pub struct ResourceUsage {
     /// Seconds of processor time so far.
-    pub cpu: f64,
+    pub cpu_seconds: f64,
     /// Resident memory, in bytes.
-    pub resident: u64,
+    pub resident_bytes: u64,
 }
 
 /// A running process.
@@ -49,7 +49,7 @@
 }
 
 impl Process {
-    /// Starts a command whose log is read line by line: into a file, and for [`Note`]s.
+    /// Starts a command whose log is read line by line: into a file, and for [`ProcessEvent`]s.
     ///
     /// # Errors
     ///
@@ -59,7 +59,7 @@
         log: &Path,
         broker: usize,
         run: u32,
-        notes: Sender<Note>,
+        notes: Sender<ProcessEvent>,
     ) -> io::Result<Self> {
         let mut file = File::options().create(true).append(true).open(log)?;
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn()?;
@@ -69,11 +69,11 @@
         thread::Builder::new().name(format!("log of b{broker}")).spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 let _ = writeln!(file, "{line}");
-                if let Some(said) = read(&line) {
-                    let _ = notes.send(Note { broker, run, said });
+                if let Some(event) = parse_log_line(&line) {
+                    let _ = notes.send(ProcessEvent { broker, run, event });
                 }
             }
-            let _ = notes.send(Note { broker, run, said: Said::Ended });
+            let _ = notes.send(ProcessEvent { broker, run, event: LogEvent::Ended });
         })?;
         Ok(process)
     }
@@ -95,15 +95,15 @@
     /// # Errors
     ///
     /// When the system does not know it.
-    pub fn reap(&mut self) -> io::Result<ExitStatus> {
+    pub fn wait(&mut self) -> io::Result<ExitStatus> {
         self.child.wait()
     }
 
     /// What it uses; none once it has ended.
-    pub fn uses(&self) -> Option<Use> {
+    pub fn resource_usage(&self) -> Option<ResourceUsage> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id())).ok()?;
         let ticks = rustix::param::clock_ticks_per_second();
-        used(&stat, ticks, rustix::param::page_size() as u64)
+        parse_stat(&stat, ticks, rustix::param::page_size() as u64)
     }
 }
 
@@ -116,21 +116,21 @@
 }
 
 /// Reads `/proc/PID/stat`: after the name in brackets, fields 14, 15 and 24.
-fn used(stat: &str, ticks: u64, page: u64) -> Option<Use> {
+fn parse_stat(stat: &str, ticks: u64, page: u64) -> Option<ResourceUsage> {
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let number = |n: usize| fields.get(n - 3).and_then(|field| field.parse::<u64>().ok());
-    let cpu = (number(14)? + number(15)?) as f64 / ticks as f64;
-    Some(Use { cpu, resident: number(24)? * page })
+    let cpu_seconds = (number(14)? + number(15)?) as f64 / ticks as f64;
+    Some(ResourceUsage { cpu_seconds, resident_bytes: number(24)? * page })
 }
 
 /// What a line of the log says, if it is of use: a JSON object with a level and a message.
-fn read(line: &str) -> Option<Said> {
+fn parse_log_line(line: &str) -> Option<LogEvent> {
     let line: Value = serde_json::from_str(line).ok()?;
     let message = line["message"].as_str()?;
     if let Some((_, at)) = message.split_once(" listens to clients on ") {
-        return at.parse().ok().map(Said::Listens);
+        return at.parse().ok().map(LogEvent::Listening);
     }
-    matches!(line["level"].as_str(), Some("WARN" | "ERROR")).then(|| Said::Warns(message.to_owned()))
+    matches!(line["level"].as_str(), Some("WARN" | "ERROR")).then(|| LogEvent::Warning(message.to_owned()))
 }
 
 #[cfg(test)]
@@ -143,21 +143,24 @@
     fn log_lines_are_read_and_others_passed_over() {
         let line =
             |level: &str, message: &str| format!("{{\"level\":\"{level}\",\"message\":\"{message}\"}}");
-        let listens = Said::Listens("127.0.0.1:81".parse().expect("an address"));
-        assert_eq!(read(&line("INFO", "n0 listens to clients on 127.0.0.1:81")), Some(listens));
+        let listens = LogEvent::Listening("127.0.0.1:81".parse().expect("an address"));
+        assert_eq!(parse_log_line(&line("INFO", "n0 listens to clients on 127.0.0.1:81")), Some(listens));
         assert_eq!(
-            read(&line("WARN", "discovery: status 503")),
-            Some(Said::Warns("discovery: status 503".into()))
+            parse_log_line(&line("WARN", "discovery: status 503")),
+            Some(LogEvent::Warning("discovery: status 503".into()))
         );
-        assert_eq!(read(&line("INFO", "servers: version 3")), None);
-        assert_eq!(read("thread panicked"), None);
+        assert_eq!(parse_log_line(&line("INFO", "servers: version 3")), None);
+        assert_eq!(parse_log_line("thread panicked"), None);
     }
 
     #[test]
     fn the_kernels_figures_are_read_whatever_the_name() {
         let stat = "77 (a) b) S 1 77 77 0 -1 4194560 500 0 0 0 250 150 0 0 20 0 2 0 1 1000 300 1844";
-        assert_eq!(used(stat, 100, 4096), Some(Use { cpu: 4.0, resident: 300 * 4096 }));
-        assert_eq!(used("77 (a", 100, 4096), None);
+        assert_eq!(
+            parse_stat(stat, 100, 4096),
+            Some(ResourceUsage { cpu_seconds: 4.0, resident_bytes: 300 * 4096 })
+        );
+        assert_eq!(parse_stat("77 (a", 100, 4096), None);
     }
 
     // Guards against processes left behind: the guard ends its own, by its id, on the way out of a panic too.
@@ -171,7 +174,7 @@
         let id = process.id();
         // It has begun, and gets its memory in a moment.
         let start = std::time::Instant::now();
-        while process.uses().is_none_or(|used| used.resident == 0) {
+        while process.resource_usage().is_none_or(|used| used.resident_bytes == 0) {
             assert!(start.elapsed() < std::time::Duration::from_secs(20), "it has no memory");
             thread::yield_now();
         }
@@ -180,7 +183,7 @@
             panic!("a test fails");
         }));
         assert!(ended.is_err());
-        assert_eq!(heard.recv(), Ok(Note { broker: 3, run: 1, said: Said::Ended }));
+        assert_eq!(heard.recv(), Ok(ProcessEvent { broker: 3, run: 1, event: LogEvent::Ended }));
         assert!(!Path::new(&format!("/proc/{id}")).exists(), "{id} is left behind");
         let _ = fs::remove_file(log);
     }
--- a/crates/fleet/src/proxy.rs
+++ b/crates/fleet/src/proxy.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use socket2::{Domain, SockRef, Socket, Type};
 
-use crate::port::{HeldPort, stop_listening};
+use crate::port::{ReservedPort, shut_down_listener};
 
 /// What a direction of a connection holds before no more is read from its sender.
 const HELD: usize = 64 * 1024;
@@ -86,7 +86,7 @@
 
 enum Route {
     Tcp {
-        port: HeldPort,
+        port: ReservedPort,
         listener: Option<TcpListener>,
         to: SocketAddr,
     },
@@ -121,7 +121,7 @@
     ///
     /// When loopback has no port left.
     pub fn tcp(&mut self, to: SocketAddr) -> io::Result<(Link, SocketAddr)> {
-        let port = HeldPort::new()?;
+        let port = ReservedPort::new()?;
         let at = port.address();
         let listener = Some(listen(at)?);
         self.routes.push(Route::Tcp { port, listener, to });
@@ -323,7 +323,7 @@
             && let Some(listener) = listener.take()
         {
             self.poll.remove(&listener);
-            stop_listening(listener);
+            shut_down_listener(listener);
         }
         self.reset_all(link);
     }
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -7,7 +7,7 @@
 use badgergauge_standin::ledger::{Breach, Ledger, Rule};
 use serde::{Deserialize, Serialize};
 
-use crate::load::{Fates, Refusal, Seen};
+use crate::load::{ClientResults, OutcomeCounts, Refusal};
 use crate::schedule::{Act, Schedule};
 
 /// Shares that differ by no more than this from the steady one are full service.
@@ -268,7 +268,7 @@
 
 /// Requests that brokers refused from their first upgrade or drain on. Those that the schedule also kills or
 /// restarts may refuse some.
-fn refusals(seen: &Seen, schedule: &Schedule, offset: Duration) -> Vec<Breach> {
+fn refusals(seen: &ClientResults, schedule: &Schedule, offset: Duration) -> Vec<Breach> {
     let seamless_from = |broker: usize| {
         let ends = |act: &Act| matches!(act, Act::Kill(b) | Act::Restart(b) if *b == broker);
         let seamless = |act: &Act| matches!(act, Act::Upgrade(b) | Act::StartDrain(b) if *b == broker);
@@ -293,7 +293,7 @@
 /// out. Times are since the base; clients began at `offset`.
 pub fn breaches(
     ledger: &Ledger,
-    seen: &Seen,
+    seen: &ClientResults,
     gathered: &Gathered,
     schedule: &Schedule,
     offset: Duration,
@@ -335,7 +335,7 @@
         let breach = Breach { at: lost.ended, rule: Rule::NoAnswer, what };
         if lost.closed { closed.push(breach) } else { found.push(breach) }
     }
-    let offered: u32 = seen.fates.values().map(|fates| fates.offered).sum();
+    let offered: u32 = seen.outcomes.values().map(|fates| fates.offered).sum();
     // An upgrade or a drain has no price.
     if schedule.is_seamless() || closed.len() * CLOSED_SHARE > offered as usize {
         found.append(&mut closed);
@@ -351,10 +351,10 @@
 }
 
 /// Counts by second, from the clients' second `offset` on; whole seconds.
-pub fn rows(ledger: &Ledger, seen: &Seen, gathered: &Gathered, offset: u64) -> Vec<Row> {
+pub fn rows(ledger: &Ledger, seen: &ClientResults, gathered: &Gathered, offset: u64) -> Vec<Row> {
     let mut rows: BTreeMap<u64, Row> = BTreeMap::new();
-    for (second, fates) in &seen.fates {
-        let Fates {
+    for (second, outcomes) in &seen.outcomes {
+        let OutcomeCounts {
             offered,
             in_time,
             late,
@@ -366,7 +366,7 @@
             refusals,
             not_taken,
             left,
-        } = *fates;
+        } = *outcomes;
         let row = Row {
             offered,
             in_time,
@@ -440,18 +440,18 @@
 
     const S: Duration = Duration::from_secs(1);
 
-    fn seen(unanswered: Vec<Unanswered>) -> Seen {
+    fn seen(unanswered: Vec<Unanswered>) -> ClientResults {
         let times = hdrhistogram::Histogram::new(3).expect("sound");
-        let fates = BTreeMap::from([(0, Fates { offered: 300, ..Fates::default() })]);
+        let outcomes = BTreeMap::from([(0, OutcomeCounts { offered: 300, ..OutcomeCounts::default() })]);
         let (refused, wrong) = (Vec::new(), Vec::new());
-        Seen { fates, times, unanswered, refused, wrong, lateness: Duration::ZERO }
+        ClientResults { outcomes, times, unanswered, refused, wrong, lateness: Duration::ZERO }
     }
 
     fn lost(broker: usize, sent: Duration, ended: Duration, closed: bool) -> Unanswered {
         Unanswered { id: format!("b{broker}-1"), broker, sent, ended, closed }
     }
 
-    fn found(ledger: &Ledger, seen: &Seen) -> Vec<Rule> {
+    fn found(ledger: &Ledger, seen: &ClientResults) -> Vec<Rule> {
         let schedule = Schedule { acts: vec![(S * 10, Act::Kill(1))], later: Vec::new() };
         let crashed = Gathered::default();
         let all = breaches(ledger, seen, &crashed, &schedule, S, &[(S * 20, S * 22)]);
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -22,14 +22,14 @@
 use serde_json::{Value, json};
 
 use crate::control;
-use crate::load::{Clients, Load, Tell as FrontTell};
-use crate::port::HeldPort;
-use crate::process::{Note, Process, Said};
+use crate::load::{ClientCommand, Clients, Load};
+use crate::port::ReservedPort;
+use crate::process::{LogEvent, Process, ProcessEvent};
 use crate::proxy::{Builder, Link, Proxy, Rule, Tell as ProxyTell};
 use crate::record::{self, Broken, Gathered, Record, Used};
 use crate::scenario::{Fault, Scenario};
 use crate::schedule::{Act, Links, Schedule};
-use settings::{WINDOW, blocks, classes, placed, setting, settings};
+use settings::{IDEMPOTENCY_WINDOW, blocks, classes, placed, setting, settings};
 use wires::Wires;
 
 /// A broker that has not come up in this time has not started.
@@ -49,7 +49,7 @@
 /// Brokers that there have to be more of before they speak to each other: fewer need no links for it.
 const FEW: usize = 8;
 /// Seconds of full service in a row that end the time to it, at the most.
-pub const HOLD: usize = 10;
+pub const FULL_SERVICE_HOLD: usize = 10;
 
 /// What a run needs beside its scenario.
 #[derive(Clone, Debug)]
@@ -61,29 +61,29 @@
     /// The scenario's name.
     pub name: String,
     /// Changes to the brokers' settings: a path in them, and a value. To see checks fail, and to compare.
-    pub set: Vec<(String, Value)>,
+    pub setting_overrides: Vec<(String, Value)>,
     /// How long the stand-in servers know a key; the settings' window is 5 s.
-    pub window: Duration,
+    pub idempotency_window: Duration,
     /// Seconds of full service in a row that end the time to it.
-    pub hold: usize,
+    pub full_service_hold: usize,
     /// Whether a broker starts with the list as it was at the run's start, as the platform gives one; else it
     /// knows no server until discovery has told it.
-    pub known: bool,
+    pub has_initial_list: bool,
     /// A drain that a broker was told binds it over a restart too, as it has a store; on the platform nothing does.
-    pub drains_hold: bool,
+    pub drains_persist: bool,
     /// A broker that has not come up in this time has not started.
-    pub starts_in: Duration,
+    pub start_timeout: Duration,
     /// Rolls kill brokers in place of telling them to end: to see what that costs.
-    pub rolls_kill: bool,
+    pub kill_on_roll: bool,
     /// Each broker writes what it decided, and why, to trace files in a folder of its own.
     pub trace: bool,
     /// The process that is to take over in an upgrade takes clients by then.
-    pub ready_within: Duration,
+    pub ready_timeout: Duration,
     /// Upgrades kill the running process and start the one that is to take over so much later: to see what that
     /// costs.
     pub upgrade_gap: Option<Duration>,
     /// The library that holds brokers up before writes; needed where the scenario does.
-    pub write_delay: Option<PathBuf>,
+    pub write_delay_library: Option<PathBuf>,
 }
 
 impl Options {
@@ -94,17 +94,17 @@
             program: program.to_owned(),
             dir,
             name,
-            set: Vec::new(),
-            window: WINDOW,
-            hold: HOLD,
-            known: true,
-            drains_hold: false,
-            starts_in: STARTS_IN,
-            rolls_kill: false,
+            setting_overrides: Vec::new(),
+            idempotency_window: IDEMPOTENCY_WINDOW,
+            full_service_hold: FULL_SERVICE_HOLD,
+            has_initial_list: true,
+            drains_persist: false,
+            start_timeout: STARTS_IN,
+            kill_on_roll: false,
             trace: false,
-            ready_within: READY_WITHIN,
+            ready_timeout: READY_WITHIN,
             upgrade_gap: None,
-            write_delay: hold::library_beside(program),
+            write_delay_library: hold::library_beside(program),
         }
     }
 }
@@ -143,14 +143,14 @@
 
 /// The ports of a broker, over all of its processes.
 struct Ports {
-    clients: HeldPort,
+    clients: ReservedPort,
     /// Two, so that the processes of an upgrade each have one.
-    control: [HeldPort; 2],
+    control: [ReservedPort; 2],
 }
 
 impl Ports {
     fn new() -> io::Result<Self> {
-        Ok(Ports { clients: HeldPort::new()?, control: [HeldPort::new()?, HeldPort::new()?] })
+        Ok(Ports { clients: ReservedPort::new()?, control: [ReservedPort::new()?, ReservedPort::new()?] })
     }
 }
 
@@ -189,8 +189,8 @@
     clients: Option<Clients>,
     brokers: Vec<Broker>,
     ports: Vec<Ports>,
-    notes: Sender<Note>,
-    heard: Receiver<Note>,
+    notes: Sender<ProcessEvent>,
+    heard: Receiver<ProcessEvent>,
     due: Vec<(Duration, Due)>,
     gathered: Gathered,
     /// By broker: connections of clients that ask for nothing.
@@ -305,31 +305,31 @@
             parts: self.scenario.parts,
             blocks: blocks(self.scenario),
             classes: classes(self.scenario),
-            from: self.offset,
-            lasts: Duration::from_secs(self.scenario.seconds),
+            start: self.offset,
+            duration: Duration::from_secs(self.scenario.seconds),
             seed: self.scenario.seed,
             pooled: self.scenario.pooled,
-            unruly: self.scenario.unruly,
+            misbehaving_share: self.scenario.unruly,
         };
         let clients = Clients::start(load, self.base)?;
         for (n, broker) in self.brokers.iter().enumerate() {
-            clients.tell(FrontTell::Front(n, broker.address));
+            clients.send(ClientCommand::SetBroker(n, broker.address));
         }
         self.clients = Some(clients);
         let ends = schedule.ends() + self.offset;
-        let asked = |fleet: &Self| fleet.clients.as_ref().is_some_and(|clients| !clients.are_done());
+        let asked = |fleet: &Self| fleet.clients.as_ref().is_some_and(|clients| !clients.is_finished());
         while self.now() < ends || asked(self) || !self.is_settled() {
             self.turn()?;
         }
         let Some(clients) = self.clients.take() else { return Err(io::Error::other("no clients")) };
-        let seen = clients.seen()?;
+        let seen = clients.join()?;
         self.brokers.iter_mut().for_each(|broker| broker.process = None);
         let rough: Vec<(Duration, Duration)> = self.scenario.events.iter().filter_map(rough).collect();
         let ledger = self.world.ledger();
         let broken = record::breaches(&ledger, &seen, &self.gathered, schedule, self.offset, &rough);
         let rows = record::rows(&ledger, &seen, &self.gathered, self.offset.as_secs());
         let fault_at = schedule.acts.first().map(|(at, _)| at.as_secs_f64());
-        let (steady, full_service_s) = record::full_service(&rows, fault_at, self.options.hold);
+        let (steady, full_service_s) = record::full_service(&rows, fault_at, self.options.full_service_hold);
         let asked: u32 = rows.iter().map(|row| row.offered).sum();
         let parts: u32 = rows.iter().map(|row| row.parts).sum();
         let ms = |quantile: f64| seen.times.value_at_quantile(quantile) as f64 / 1e3;
@@ -444,7 +444,7 @@
                 let was_told = std::mem::replace(&mut state.ends, true);
                 state.again = true;
                 let run = state.run;
-                self.signal(broker, if self.options.rolls_kill { Signal::KILL } else { Signal::TERM });
+                self.signal(broker, if self.options.kill_on_roll { Signal::KILL } else { Signal::TERM });
                 if !was_told {
                     self.arm(self.now() + LAST_CLIENTS, Due::Unlist(broker, run));
                     self.arm(self.now() + ends_in, Due::Hangs(broker, run));
@@ -521,7 +521,7 @@
 
     fn list(&self, broker: usize, at: Option<SocketAddr>) {
         if let Some(clients) = &self.clients {
-            clients.tell(FrontTell::Front(broker, at));
+            clients.send(ClientCommand::SetBroker(broker, at));
         }
     }
 
@@ -533,7 +533,7 @@
     fn configure(&self, broker: usize) -> io::Result<()> {
         let state = &self.brokers[broker];
         let mut settings = settings(self.scenario, broker);
-        for (path, value) in &self.options.set {
+        for (path, value) in &self.options.setting_overrides {
             let target =
                 settings.pointer_mut(path).ok_or_else(|| io::Error::other(format!("no setting {path}")))?;
             *target = value.clone();
@@ -546,7 +546,7 @@
             config["peer_listen"] = hears.to_string().into();
             config["peers"] = (0..self.scenario.brokers).map(at).collect();
         }
-        if self.options.known {
+        if self.options.has_initial_list {
             let servers = (0..self.scenario.servers).map(|server| {
                 let placed = placed(self.scenario, server, server % self.scenario.cells, true);
                 let address = self.wires.tile_at[broker][server].to_string();
@@ -624,9 +624,9 @@
         let now = self.now();
         let state = &mut self.brokers[broker];
         let Some(started) = state.started else { return };
-        if now.saturating_sub(started) > self.options.starts_in {
+        if now.saturating_sub(started) > self.options.start_timeout {
             state.started = None;
-            let what = format!("b{broker} was not up {:?} after its start", self.options.starts_in);
+            let what = format!("b{broker} was not up {:?} after its start", self.options.start_timeout);
             self.gathered.crashed.push((now, what));
             return;
         }
@@ -637,19 +637,19 @@
         }
     }
 
-    fn hear(&mut self, note: Note) -> io::Result<()> {
+    fn hear(&mut self, note: ProcessEvent) -> io::Result<()> {
         let (now, state) = (self.now(), &mut self.brokers[note.broker]);
-        match note.said {
-            Said::Listens(at) if note.run == state.run => state.address = Some(at),
-            Said::Warns(_) => {
+        match note.event {
+            LogEvent::Listening(at) if note.run == state.run => state.address = Some(at),
+            LogEvent::Warning(_) => {
                 state.warnings += 1;
                 *self.gathered.warnings.entry(now.as_secs()).or_default() += 1;
             }
-            Said::Ended if note.run == state.run => {
+            LogEvent::Ended if note.run == state.run => {
                 let Some(mut process) = state.process.take() else { return Ok(()) };
-                let status = process.reap()?;
+                let status = process.wait()?;
                 state.cpu = [state.cpu[0] + state.cpu[1], 0.0];
-                if !self.options.drains_hold {
+                if !self.options.drains_persist {
                     self.world.tell(WorldTell::BrokerGone(note.broker));
                 }
                 // Another process may have taken its port between the choice and the bind.
@@ -657,7 +657,7 @@
                 state.failed += u32::from(failed_to_start);
                 let retry = failed_to_start && state.failed <= STARTS;
                 let ended_badly =
-                    state.again && !state.killed && !self.options.rolls_kill && !status.success();
+                    state.again && !state.killed && !self.options.kill_on_roll && !status.success();
                 if ended_badly && self.scenario.kills_early {
                     let what = format!("b{} was told to end, and ended with {status}", note.broker);
                     self.gathered.crashed.push((now, what));
@@ -675,8 +675,8 @@
                     self.start(note.broker)?;
                 }
             }
-            Said::Ended => self.ended_in_upgrade(note.broker, note.run)?,
-            Said::Listens(_) => {}
+            LogEvent::Ended => self.ended_in_upgrade(note.broker, note.run)?,
+            LogEvent::Listening(_) => {}
         }
         Ok(())
     }
@@ -684,9 +684,9 @@
     fn sample(&mut self) {
         let (mut cpu, mut memory) = (0.0, 0.0_f64);
         for broker in &mut self.brokers {
-            if let Some(used) = broker.process.as_ref().and_then(Process::uses) {
-                broker.cpu[1] = used.cpu;
-                let resident = used.resident as f64 / (1024.0 * 1024.0);
+            if let Some(used) = broker.process.as_ref().and_then(Process::resource_usage) {
+                broker.cpu[1] = used.cpu_seconds;
+                let resident = used.resident_bytes as f64 / (1024.0 * 1024.0);
                 broker.memory_mb = broker.memory_mb.max(resident);
                 memory = memory.max(resident);
             }
--- a/crates/fleet/src/run/drain.rs
+++ b/crates/fleet/src/run/drain.rs
@@ -33,7 +33,7 @@
     /// Looks at what clients hold of a broker that should be rid of them.
     pub(super) fn check_drain(&mut self, drain: usize) {
         let broker = self.gathered.drains[drain].broker;
-        let Some(held) = self.clients.as_ref().and_then(|clients| clients.held(broker)) else {
+        let Some(held) = self.clients.as_ref().and_then(|clients| clients.connection_usage(broker)) else {
             self.break_rule(Rule::NotDrained, format!("b{broker}: the clients ended before its drain"));
             return;
         };
--- a/crates/fleet/src/run/hold.rs
+++ b/crates/fleet/src/run/hold.rs
@@ -33,7 +33,7 @@
 ///
 /// When the library that it takes is missing.
 pub(super) fn check(scenario: &Scenario, options: &Options) -> io::Result<()> {
-    if holds(scenario) && options.write_delay.is_none() {
+    if holds(scenario) && options.write_delay_library.is_none() {
         let fault =
             format!("`hold` needs {LIBRARY} beside the broker's program: build badgergauge-write-delay");
         return Err(io::Error::new(io::ErrorKind::NotFound, fault));
@@ -44,7 +44,7 @@
 impl Fleet<'_> {
     /// Has a broker that is about to start load the library, where the scenario holds brokers up.
     pub(super) fn preload_write_delay(&self, broker: usize, command: &mut Command) -> io::Result<()> {
-        if let Some(library) = self.options.write_delay.as_ref().filter(|_| holds(self.scenario)) {
+        if let Some(library) = self.options.write_delay_library.as_ref().filter(|_| holds(self.scenario)) {
             let plan = fs::canonicalize(&self.options.dir)?.join(format!("b{broker}.delay"));
             command.env("LD_PRELOAD", fs::canonicalize(library)?).env(PLAN_VARIABLE, plan);
         }
--- a/crates/fleet/src/run/settings.rs
+++ b/crates/fleet/src/run/settings.rs
@@ -9,12 +9,12 @@
 use serde_json::{Value, json};
 
 use super::Options;
-use crate::load::{Class, Effect};
+use crate::load::{Class, RetrySafety};
 use crate::scenario::Scenario;
 use crate::schedule::{Schedule, zone_of};
 
 /// The window of keyed queries.
-pub const WINDOW: Duration = Duration::from_secs(5);
+pub const IDEMPOTENCY_WINDOW: Duration = Duration::from_secs(5);
 
 /// What a query of each class earns, in their order.
 const CREDITS: [f64; 4] = [1.0, 2.0, 5.0, 3.0];
@@ -23,23 +23,23 @@
 
 /// The classes that clients ask.
 pub fn classes(scenario: &Scenario) -> Vec<Class> {
-    let class = |name: &str, effect: Effect, least: f64, share: f64| Class {
+    let class = |name: &str, retry_safety: RetrySafety, min_share: f64, share: f64| Class {
         name: name.to_owned(),
         aim: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
-        effect,
-        least,
+        retry_safety,
+        min_share,
         share,
     };
     let mut classes = vec![
-        class("parcel-search", Effect::Safe, 1.0, 0.7),
-        class("title-flag", Effect::Keyed, 1.0, 0.15),
-        class("area-report", Effect::Safe, 0.8, 0.15),
+        class("parcel-search", RetrySafety::Safe, 1.0, 0.7),
+        class("title-flag", RetrySafety::Keyed, 1.0, 0.15),
+        class("area-report", RetrySafety::Safe, 0.8, 0.15),
     ];
     if scenario.unsafe_share > 0.0 {
         let safe_share = 1.0 - scenario.unsafe_share;
         classes.iter_mut().for_each(|class| class.share *= safe_share);
-        classes.push(class("title-transfer", Effect::Unsafe, 1.0, scenario.unsafe_share));
+        classes.push(class("title-transfer", RetrySafety::Unsafe, 1.0, scenario.unsafe_share));
     }
     classes
 }
@@ -48,12 +48,12 @@
 pub fn settings(scenario: &Scenario, me: usize) -> Value {
     let classes = classes(scenario);
     let each = |value: f64| vec![value; classes.len()];
-    let least: Vec<f64> = classes.iter().map(|class| class.least).collect();
+    let least: Vec<f64> = classes.iter().map(|class| class.min_share).collect();
     let profiles: Vec<Value> = classes
         .iter()
         .zip(CREDITS)
         .map(|(class, credit)| {
-            json!({"name": class.name, "effect": class.effect, "credit": credit,
+            json!({"name": class.name, "effect": class.retry_safety, "credit": credit,
                 "lateShare": 0.3, "aimNs": class.aim.as_nanos() as u64,
                 "deadlineNs": class.deadline.as_nanos() as u64, "windowNs": scenario.window.as_nanos() as u64})
         })
@@ -105,7 +105,7 @@
         brokers: scenario.brokers,
         cells: scenario.cells as u32,
         width: scenario.width as u32,
-        window: options.window.min(scenario.window),
+        window: options.idempotency_window.min(scenario.window),
         read_lag: scenario.tile.read_lag,
         pushed: !scenario.on_request,
         indented: scenario.indented,
--- a/crates/fleet/src/run/upgrade.rs
+++ b/crates/fleet/src/run/upgrade.rs
@@ -38,8 +38,8 @@
 impl Old {
     /// Reads its processor time.
     pub fn sample(&mut self) {
-        if let Some(used) = self.process.uses() {
-            self.cpu = used.cpu;
+        if let Some(used) = self.process.resource_usage() {
+            self.cpu = used.cpu_seconds;
         }
     }
 }
@@ -88,10 +88,10 @@
         let (began, run) = (next.began, next.run);
         let ready = control::is_ready(self.ports[broker].control[next.control].address());
         let now = self.now();
-        if now.saturating_sub(began) > self.options.ready_within {
+        if now.saturating_sub(began) > self.options.ready_timeout {
             // Dropping it ends it; the old one serves on.
             self.brokers[broker].next = None;
-            let what = format!("b{broker} run {run} was not ready in {:?}", self.options.ready_within);
+            let what = format!("b{broker} run {run} was not ready in {:?}", self.options.ready_timeout);
             self.break_rule(Rule::NotReady, what);
         } else if ready {
             self.take_over(broker, now);
@@ -129,7 +129,7 @@
     pub(super) fn ended_in_upgrade(&mut self, broker: usize, run: u32) -> io::Result<()> {
         let (now, state) = (self.now(), &mut self.brokers[broker]);
         if let Some(mut old) = state.old.take_if(|old| old.run == run) {
-            let status = old.process.reap()?;
+            let status = old.process.wait()?;
             state.cpu[0] += old.cpu;
             let current = state.run;
             self.note_upgrade(broker, current, |upgrade| {
@@ -141,7 +141,7 @@
                     .push((now, format!("b{broker} run {run} ended after SIGTERM: {status}")));
             }
         } else if let Some(mut next) = state.next.take_if(|next| next.run == run) {
-            let status = next.process.reap()?;
+            let status = next.process.wait()?;
             let what = format!("b{broker} run {run} ended before it took over: {status}");
             self.break_rule(Rule::NotReady, what);
         }
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use badgergauge_fleet::load::{Class, Clients, Effect, Load, Seen, Tell as FrontTell};
+use badgergauge_fleet::load::{Class, ClientCommand, ClientResults, Clients, Load, RetrySafety};
 use badgergauge_fleet::proxy::{Builder, Link, Proxy, Rule, Tell};
 use badgergauge_standin::ledger::Rule as Broken;
 use badgergauge_standin::model::{Figures, Manner};
@@ -299,12 +299,12 @@
 }
 
 /// What clients see of a broker that does so with each connection.
-fn seen(broker: impl Fn(TcpStream) + Send + 'static) -> Seen {
+fn seen(broker: impl Fn(TcpStream) + Send + 'static) -> ClientResults {
     seen_by(false, broker)
 }
 
 /// The same, by clients that may pool their connections.
-fn seen_by(pooled: bool, broker: impl Fn(TcpStream) + Send + 'static) -> Seen {
+fn seen_by(pooled: bool, broker: impl Fn(TcpStream) + Send + 'static) -> ClientResults {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
     thread::spawn(move || listener.incoming().flatten().for_each(broker));
@@ -312,8 +312,8 @@
         name: "c".into(),
         aim: Duration::from_millis(100),
         deadline: Duration::from_millis(200),
-        effect: Effect::Keyed,
-        least: 1.0,
+        retry_safety: RetrySafety::Keyed,
+        min_share: 1.0,
         share: 1.0,
     };
     let load = Load {
@@ -322,15 +322,15 @@
         parts: 2,
         blocks: 4,
         classes: vec![class],
-        from: Duration::from_millis(50),
-        lasts: Duration::from_millis(100),
+        start: Duration::from_millis(50),
+        duration: Duration::from_millis(100),
         seed: 1,
         pooled,
-        unruly: 0.0,
+        misbehaving_share: 0.0,
     };
     let clients = Clients::start(load, Instant::now()).expect("starts");
-    clients.tell(FrontTell::Front(0, Some(at)));
-    clients.seen().expect("all are answered or given up")
+    clients.send(ClientCommand::SetBroker(0, Some(at)));
+    clients.join().expect("all are answered or given up")
 }
 
 /// Reads a request to its end, and answers it so.
@@ -353,7 +353,7 @@
 #[test]
 fn clients_find_a_broker_that_does_not_answer_or_answers_what_no_server_made() {
     let silent = seen(std::mem::forget);
-    let offered: u32 = silent.fates.values().map(|fates| fates.offered).sum();
+    let offered: u32 = silent.outcomes.values().map(|fates| fates.offered).sum();
     assert!(offered > 0);
     assert!(silent.unanswered.len() as u32 == offered && silent.unanswered.iter().all(|lost| !lost.closed));
     let closing = seen(|mut stream| {
@@ -367,7 +367,11 @@
         "{\"full\":true,\"pieces\":[{\"tablet\":0,\"cell\":\"invented\"},{\"tablet\":1,\"cell\":\"invented\"}]}",
     ] {
         let seen = seen(move |stream| answers(stream, wrong));
-        assert_eq!(seen.wrong.len() as u32, seen.fates.values().map(|f| f.offered).sum::<u32>(), "{wrong}");
+        assert_eq!(
+            seen.wrong.len() as u32,
+            seen.outcomes.values().map(|f| f.offered).sum::<u32>(),
+            "{wrong}"
+        );
     }
 }
 
@@ -380,7 +384,7 @@
         counter.fetch_add(1, Ordering::Relaxed);
         thread::spawn(move || while answers_next(&stream, "{}") {});
     });
-    let offered: u32 = kept.fates.values().map(|fates| fates.offered).sum();
+    let offered: u32 = kept.outcomes.values().map(|fates| fates.offered).sum();
     assert!(offered > 1 && kept.unanswered.is_empty(), "{offered} queries, {:?}", kept.unanswered);
     let used = connections.load(Ordering::Relaxed);
     assert!(used < offered, "{used} connections for {offered} queries");
@@ -390,6 +394,6 @@
             let _ = (&stream).read(&mut [0; 4096]);
         });
     });
-    let closed: u32 = closing.fates.values().map(|fates| fates.closed).sum();
+    let closed: u32 = closing.outcomes.values().map(|fates| fates.closed).sum();
     assert!(closed > 0 && closed as usize == closing.unanswered.len(), "{closed} closed");
 }
--- a/src/bin/badgergauge/fleet.rs
+++ b/src/bin/badgergauge/fleet.rs
@@ -116,7 +116,7 @@
         let (path, value) =
             set.split_once('=').ok_or_else(|| vec![format!("--set {set}: must be PATH=JSON")])?;
         let value = serde_json::from_str(value).map_err(|error| vec![format!("--set {set}: {error}")])?;
-        options.set.push((path.to_owned(), value));
+        options.setting_overrides.push((path.to_owned(), value));
     }
     let record = run::run(&scenario, &options).map_err(messages)?;
     print!("{}", report::table(&record));
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -175,7 +175,8 @@
             tracing::info!("{} listens to operators on {}", config.name, endpoint.address());
         }
         let mut backend = Backend::new(settings.clone(), max_backend_connections);
-        let known = config.known_servers.take().map(|known| ServerList::from_value(&known, &clock)).transpose();
+        let known =
+            config.known_servers.take().map(|known| ServerList::from_value(&known, &clock)).transpose();
         let mut known = known.map_err(|error| invalid(format!("known.{error}")))?;
         let directory = has_control.then(shared_directory).flatten();
         let (mut upgrade, offer) =
@@ -460,8 +461,8 @@
         for completion in self.backend.completions.drain(..) {
             match completion {
                 Completion::Attempt { attempt, verdict, value, load } => {
- self.core.outcome(now, attempt, verdict, value, load)
- }
+                    self.core.outcome(now, attempt, verdict, value, load)
+                }
                 Completion::Probe { server, verdict, round_trip, load } => {
                     self.core.probed(server, verdict, round_trip, load)
                 }
--- a/src/broker/clients.rs
+++ b/src/broker/clients.rs
@@ -95,7 +95,9 @@
                 request.keep_alive,
                 self.front.parse(client.listener == OGC_LISTENER_KEY, &request, can_serve),
             ),
-            Err(error) => (false, ParsedRequest::Immediate(Response::text(error.status(), error.to_string()))),
+            Err(error) => {
+                (false, ParsedRequest::Immediate(Response::text(error.status(), error.to_string())))
+            }
         };
         // The time limit counts from when the client sent the request; the first byte received is the best
         // estimate.
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -48,7 +48,7 @@
     let mut options = Options::new(Path::new(env!("CARGO_BIN_EXE_badgergauge")), &dir, name);
     let _place = Place::take();
     // A run of a few seconds has few to hold it for.
-    options.hold = 3;
+    options.full_service_hold = 3;
     change(&mut options);
     let scenario = Scenario::read(Path::new(name), scenario).expect("sound");
     let record = run::run(&scenario, &options).expect("the harness does its part");
@@ -97,7 +97,7 @@
     // A server has each broker connect again, and some once more as connections stand idle: not many times each.
     let hands = most(&record, |row| row.handshakes_most);
     assert!(hands <= 8 * 6, "{hands} handshakes at one server in a second");
-    let blind = fleet("blind", HERD, |options| options.known = false);
+    let blind = fleet("blind", HERD, |options| options.has_initial_list = false);
     assert!(
         blind.full_service_s.is_none_or(|took| took > 3.0),
         "{:?} s without a list",
@@ -136,7 +136,7 @@
     // Twice the queries, each for longer: a dozen are open when their broker is killed, on the mean.
     let busy =
         ROLL.replace("rate: 15", "rate: 30").replace("cold_s: 4", "cold_s: 4, service_ms: 40, workers: 16");
-    let killed = fleet("killed", &busy, |options| options.rolls_kill = true);
+    let killed = fleet("killed", &busy, |options| options.kill_on_roll = true);
     assert!(sum(&killed, |row| row.lost) > 0, "brokers that are killed lose nothing: the test shows nothing");
 }
 
@@ -193,7 +193,9 @@
     let record = fleet("zone", ZONE, |_| {});
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
     assert!(strain(&record) > 0.1 && strain(&record) < 1.0, "{} of the joint limit", strain(&record));
-    let unaware = fleet("unaware", ZONE, |options| options.set = vec![("/safety/coldNs".into(), json!(1))]);
+    let unaware = fleet("unaware", ZONE, |options| {
+        options.setting_overrides = vec![("/safety/coldNs".into(), json!(1))]
+    });
     assert!(
         rules(&unaware).contains(&"ColdFell"),
         "{:?}, {} of the limit",
@@ -221,7 +223,7 @@
     let record = fleet("keyed", KEYED, |_| {});
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
     assert!(record.repeated > 0, "no keyed part was repeated: the test shows nothing");
-    let doubled = fleet("doubled", KEYED, |options| options.window = std::time::Duration::ZERO);
+    let doubled = fleet("doubled", KEYED, |options| options.idempotency_window = std::time::Duration::ZERO);
     assert!(rules(&doubled).contains(&"Doubled"), "{:?}, {} repeated", rules(&doubled), doubled.repeated);
 }
 
@@ -247,7 +249,7 @@
 fn drains_hold_over_a_crash_of_all_brokers_where_they_were_stored() {
     let play = |name: &str, store: &str, lost: &str| {
         let scenario = DRAINED.replace("STORE", store).replace("LOST", lost);
-        fleet(name, &scenario, |options| options.drains_hold = true)
+        fleet(name, &scenario, |options| options.drains_persist = true)
     };
     let kept = play("kept", "true", "");
     assert_eq!(rules(&kept), [""; 0], "{:?}", kept.broken);
@@ -283,7 +285,7 @@
 // replaced and two of five brokers are killed. Taken line by line, no such list is ever read, and no broker is ready.
 #[test]
 fn a_fleet_whose_lists_come_indented_and_cut_serves() {
-    let record = fleet("indented", INDENTED, |options| options.known = false);
+    let record = fleet("indented", INDENTED, |options| options.has_initial_list = false);
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
     let (served, offered) = (sum(&record, |row| row.in_time), sum(&record, |row| row.offered));
     assert!(served * 100 >= offered * 90, "{served} of {offered} in time");
@@ -313,7 +315,7 @@
     let record = fleet("silence", SILENCE, |_| {});
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
     let slow = fleet("slow", SILENCE, |options| {
-        options.set = vec![("/safety/drainGraceNs".into(), json!(16_000_000_000_u64))];
+        options.setting_overrides = vec![("/safety/drainGraceNs".into(), json!(16_000_000_000_u64))];
     });
     assert!(rules(&slow).contains(&"Drained"), "{:?}", rules(&slow));
 }
@@ -392,7 +394,7 @@
     let program = script("uncontrolled", &format!("{hangs}\nunset BALANCER_CONTROL\nexec {real}"));
     let uncontrolled = fleet("uncontrolled", UNCONTROLLED, |options| {
         options.program.clone_from(&program);
-        options.ready_within = std::time::Duration::from_secs(1);
+        options.ready_timeout = std::time::Duration::from_secs(1);
     });
     let _ = std::fs::remove_file(&program);
     let replaced = replaced.join().expect("played");
@@ -469,7 +471,7 @@
         let program = script(name, text);
         let dir = std::env::temp_dir().join(format!("badgergauge-fleet-{}-{name}", std::process::id()));
         let mut options = Options::new(&program, &dir, name);
-        options.starts_in = std::time::Duration::from_millis(500);
+        options.start_timeout = std::time::Duration::from_millis(500);
         let fault = run::run(&scenario, &options).expect_err("no broker starts").to_string();
         assert!(fault.contains(said), "{fault}");
         let _ = (std::fs::remove_dir_all(&dir), std::fs::remove_file(&program));
