--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,10 @@
-//! A fleet of real broker processes on loopback, with stand-in tile servers, discovery and clients round them, and
-//! faults between them by seed. `docs/design/harness.md` says why so, `docs/operate/harness.md` how to use it.
+//! Test harness: runs a fleet of real broker processes on loopback between stand-in tile servers, discovery agents and
+//! clients, and injects faults drawn from a seed. `docs/design/harness.md` gives the design, `docs/operate/harness.md`
+//! the usage.
 //!
-//! [`scenario`] and [`schedule`] decide what happens when, [`record`] what of it breaks a rule; they do no I/O.
-//! [`proxy`], [`load`] with its [`pool`], [`control`] and [`process`] are the sockets and processes, and [`run`] brings all together.
+//! [`scenario`] and [`schedule`] decide what happens when, and [`record`] checks the outcome against the rules; they do
+//! no I/O. [`proxy`], [`load`] with its [`pool`], [`control`] and [`process`] handle sockets and processes, and [`run`]
+//! connects all of them.
 
 pub mod control;
 pub mod load;
--- a/crates/fleet/src/port.rs
+++ b/crates/fleet/src/port.rs
@@ -5,39 +5,39 @@
 
 use socket2::{Domain, SockRef, Socket, Type};
 
-/// A TCP port on loopback that a socket holds without listening. Whoever sets `SO_REUSEADDR` or `SO_REUSEPORT`, as
-/// servers do, can listen there; nobody is given the port by chance.
+/// A loopback TCP port that is bound by a socket which does not listen. A process that sets `SO_REUSEADDR` or
+/// `SO_REUSEPORT`, as servers do, can listen on it; the system does not assign it to any other socket.
 #[derive(Debug)]
 pub struct ReservedPort {
-    _holder: Socket,
+    _socket: Socket,
     address: SocketAddr,
 }
 
 impl ReservedPort {
-    /// Holds a port that the system chooses.
+    /// Reserves a port that the system chooses.
     ///
     /// # Errors
     ///
-    /// When loopback has no port left.
+    /// When no socket can be made, or loopback has no free port.
     pub fn new() -> io::Result<Self> {
-        let holder = Socket::new(Domain::IPV4, Type::STREAM, None)?;
-        holder.set_reuse_address(true)?;
-        holder.set_reuse_port(true)?;
-        holder.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
-        let address = holder.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-        Ok(ReservedPort { _holder: holder, address })
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
+        socket.set_reuse_address(true)?;
+        socket.set_reuse_port(true)?;
+        socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
+        let address = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
+        Ok(ReservedPort { _socket: socket, address })
     }
 
-    /// Its address.
+    /// The loopback address with the reserved port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// Ends a listener at once, also where a process that is being started still has a copy of its descriptor: a copy keeps
-/// a listener that is only closed alive until that process executes its program.
+/// Stops a listener at once by shutting it down. Closing alone is not enough while another process is being started: the
+/// forked child's copy of the descriptor keeps the listener open until the child executes its program.
 pub fn shut_down_listener(listener: TcpListener) {
-    // One that can't be shut down listens no more.
+    // Shutting down fails only on a socket that no longer listens.
     let _ = SockRef::from(&listener).shutdown(Shutdown::Both);
 }
 
@@ -48,7 +48,7 @@
     use super::*;
 
     #[test]
-    fn a_held_port_refuses_until_somebody_listens_and_again_afterwards() {
+    fn a_reserved_port_refuses_connections_unless_a_listener_is_up() {
         let port = ReservedPort::new().expect("a port");
         assert!(TcpStream::connect(port.address()).is_err());
         let listener = TcpListener::bind(port.address()).expect("free to listen on");
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -1,11 +1,11 @@
 //! Runs a scenario: stand-ins, fault proxy, brokers, clients, and the schedule of faults between them.
 
-mod crowd;
 mod drain;
-mod hold;
+mod idle_clients;
+mod links;
 mod settings;
 mod upgrade;
-mod wires;
+mod write_delay;
 
 use std::fs;
 use std::io;
@@ -29,8 +29,8 @@
 use crate::record::{self, Broken, Gathered, Record, Used};
 use crate::scenario::{Fault, Scenario};
 use crate::schedule::{Act, Links, Schedule};
+use links::FleetLinks;
 use settings::{IDEMPOTENCY_WINDOW, blocks, classes, placed, setting, settings};
-use wires::Wires;
 
 /// A broker that has not come up in this time has not started.
 const STARTS_IN: Duration = Duration::from_secs(20);
@@ -104,7 +104,7 @@
             trace: false,
             ready_timeout: READY_WITHIN,
             upgrade_gap: None,
-            write_delay_library: hold::library_beside(program),
+            write_delay_library: write_delay::library_beside(program),
         }
     }
 }
@@ -185,7 +185,7 @@
     offset: Duration,
     world: World,
     proxy: Proxy,
-    wires: Wires,
+    links: FleetLinks,
     clients: Option<Clients>,
     brokers: Vec<Broker>,
     ports: Vec<Ports>,
@@ -205,38 +205,38 @@
 /// When the harness itself can't do its part: no port, no descriptor, no folder, or no broker that starts.
 pub fn run(scenario: &Scenario, options: &Options) -> io::Result<Record> {
     fs::create_dir_all(&options.dir)?;
-    hold::check(scenario, options)?;
+    write_delay::check(scenario, options)?;
     let schedule = Schedule::new(scenario);
     let base = Instant::now();
     let mut builder = Builder::new(scenario.seed);
-    let mut wires = Wires::default();
+    let mut links = FleetLinks::default();
     let world = World::start(setting(scenario, options, &schedule), base, |tiles| {
         let mut addresses: Vec<Vec<SocketAddr>> = Vec::new();
         for _ in 0..scenario.brokers {
             let linked: Vec<(Link, SocketAddr)> =
                 tiles.iter().map(|at| builder.tcp(*at)).collect::<Result<_, _>>()?;
-            wires.tiles.push(linked.iter().map(|(link, _)| *link).collect());
+            links.tiles.push(linked.iter().map(|(link, _)| *link).collect());
             addresses.push(linked.into_iter().map(|(_, at)| at).collect());
         }
-        wires.tile_at.clone_from(&addresses);
+        links.tile_addresses.clone_from(&addresses);
         Ok(addresses)
     })?;
     for broker in 0..scenario.brokers {
         let [one, other] = [builder.tcp(world.discovery(broker))?, builder.tcp(world.discovery(broker))?];
-        wires.lists.push([one.0, other.0]);
-        wires.list_at.push([one.1, other.1]);
+        links.discovery.push([one.0, other.0]);
+        links.discovery_addresses.push([one.1, other.1]);
     }
     if scenario.brokers > FEW {
         // Each holds its port until all are drawn, so that no two get the same.
         let sockets: Vec<UdpSocket> =
             (0..scenario.brokers).map(|_| UdpSocket::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
-        wires.hears = sockets.iter().map(UdpSocket::local_addr).collect::<Result<_, _>>()?;
+        links.gossip_listen = sockets.iter().map(UdpSocket::local_addr).collect::<Result<_, _>>()?;
         for one in 0..scenario.brokers {
             for other in one + 1..scenario.brokers {
-                let ends = builder.udp(wires.hears[one], wires.hears[other])?;
+                let ends = builder.udp(links.gossip_listen[one], links.gossip_listen[other])?;
                 for ((from, to), (link, at)) in [(one, other), (other, one)].into_iter().zip(ends) {
-                    wires.words.insert((from, to), link);
-                    wires.word_at.insert((from, to), at);
+                    links.gossip.insert((from, to), link);
+                    links.gossip_addresses.insert((from, to), at);
                 }
             }
         }
@@ -244,7 +244,7 @@
     let proxy = builder.start()?;
     // Servers of later are not there yet.
     let later: Vec<usize> = (scenario.servers..scenario.servers + schedule.later.len()).collect();
-    proxy.tell(ProxyTell::Down(wires.choose(&Links::Servers(later), scenario)));
+    proxy.tell(ProxyTell::Down(links.select(&Links::Servers(later), scenario)));
     let (notes, heard) = mpsc::channel();
     let brokers = (0..scenario.brokers).map(|_| Broker::default()).collect();
     let ports = (0..scenario.brokers).map(|_| Ports::new()).collect::<Result<_, _>>()?;
@@ -255,7 +255,7 @@
         offset: Duration::ZERO,
         world,
         proxy,
-        wires,
+        links,
         clients: None,
         brokers,
         ports,
@@ -453,7 +453,7 @@
             Act::Hup(broker) => self.signal(broker, Signal::HUP),
             Act::CrowdComes(broker, clients) => {
                 let address = self.ports[broker].clients.address();
-                self.crowds[broker] = crowd::gather(address, clients);
+                self.crowds[broker] = idle_clients::connect(address, clients);
             }
             Act::CrowdLeaves(broker) => self.crowds[broker].clear(),
             Act::Upgrade(broker) => self.upgrade(broker)?,
@@ -488,12 +488,12 @@
             }
             Act::World(tell) => self.world.tell(tell),
             Act::Server(server, up) => {
-                let links = self.wires.choose(&Links::Servers(vec![server]), self.scenario);
+                let links = self.links.select(&Links::Servers(vec![server]), self.scenario);
                 self.proxy.tell(if up { ProxyTell::Up(links) } else { ProxyTell::Down(links) });
             }
             Act::Links(links, rule) => self.set_links(&links, rule),
             Act::ResetLinks(links) => {
-                self.proxy.tell(ProxyTell::Reset(self.wires.choose(&links, self.scenario)));
+                self.proxy.tell(ProxyTell::Reset(self.links.select(&links, self.scenario)));
             }
         }
         Ok(())
@@ -510,7 +510,7 @@
     }
 
     fn set_links(&self, links: &Links, rule: Rule) {
-        self.proxy.tell(ProxyTell::Set(self.wires.choose(links, self.scenario), rule));
+        self.proxy.tell(ProxyTell::Set(self.links.select(links, self.scenario), rule));
     }
 
     fn signal(&self, broker: usize, signal: Signal) {
@@ -538,18 +538,19 @@
                 settings.pointer_mut(path).ok_or_else(|| io::Error::other(format!("no setting {path}")))?;
             *target = value.clone();
         }
-        let list = self.wires.list_at[broker][usize::from(state.moved)];
+        let list = self.links.discovery_addresses[broker][usize::from(state.moved)];
         let mut config = json!({"name": format!("b{broker}"), "seed": format!("{:x}", self.scenario.seed * 1000 + broker as u64 + 1),
             "discovery": list.to_string(), "settings": settings});
-        if let Some(hears) = self.wires.hears.get(broker) {
-            let at = |other: usize| self.wires.word_at.get(&(broker, other)).unwrap_or(hears).to_string();
+        if let Some(hears) = self.links.gossip_listen.get(broker) {
+            let at =
+                |other: usize| self.links.gossip_addresses.get(&(broker, other)).unwrap_or(hears).to_string();
             config["peer_listen"] = hears.to_string().into();
             config["peers"] = (0..self.scenario.brokers).map(at).collect();
         }
         if self.options.has_initial_list {
             let servers = (0..self.scenario.servers).map(|server| {
                 let placed = placed(self.scenario, server, server % self.scenario.cells, true);
-                let address = self.wires.tile_at[broker][server].to_string();
+                let address = self.links.tile_addresses[broker][server].to_string();
                 json!({"name": placed.name, "address": address, "zone": placed.zone, "group": placed.cell,
                     "status": "up", "weight": 1.0, "since_ms": 0})
             });
