--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -1,4 +1,5 @@
-//! Runs a scenario: stand-ins, fault proxy, brokers, clients, and the schedule of faults between them.
+//! Runs a scenario: starts the stand-ins, the fault proxy, the brokers and the clients, applies the schedule of faults,
+//! and writes the record.
 
 mod drain;
 mod idle_clients;
@@ -30,64 +31,66 @@
 use crate::scenario::{Fault, Scenario};
 use crate::schedule::{Act, Links, Schedule};
 use links::FleetLinks;
-use settings::{IDEMPOTENCY_WINDOW, blocks, classes, placed, setting, settings};
-
-/// A broker that has not come up in this time has not started.
-const STARTS_IN: Duration = Duration::from_secs(20);
-/// A process that is to take over in an upgrade takes clients by then.
-const READY_WITHIN: Duration = Duration::from_secs(6);
-/// A broker that has not ended so long after SIGTERM hangs.
-const STOPS_IN: Duration = Duration::from_secs(10);
-/// The front notices a broker's death so late.
-const NOTICED: Duration = Duration::from_millis(500);
-/// After SIGTERM new clients still come for so long.
-const LAST_CLIENTS: Duration = Duration::from_millis(300);
-/// A broker that fails to start, as another process took its port, is started again so often.
-const STARTS: u32 = 3;
-/// A broker that is not up or ready yet is asked again after this.
-const ASK_AGAIN: Duration = Duration::from_millis(10);
-/// Brokers that there have to be more of before they speak to each other: fewer need no links for it.
-const FEW: usize = 8;
-/// Seconds of full service in a row that end the time to it, at the most.
+use settings::{
+    IDEMPOTENCY_WINDOW, block_count, broker_settings, query_classes, server_config, world_config,
+};
+
+/// Default of [`Options::start_timeout`].
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Default of [`Options::ready_timeout`].
+const READY_TIMEOUT: Duration = Duration::from_secs(6);
+/// A broker that is still running this long after SIGTERM counts as hung and is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long the front takes to notice that a broker has died or drains.
+const FRONT_DELAY: Duration = Duration::from_millis(500);
+/// How long after a broker's SIGTERM the front still sends it new clients.
+const FRONT_DELAY_ON_STOP: Duration = Duration::from_millis(300);
+/// How many times in a row a broker that fails to start is started again: another process may have taken its port.
+const MAX_START_RETRIES: u32 = 3;
+/// Interval at which a broker that is not up or ready yet is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Brokers exchange gossip only in fleets larger than this; smaller ones get no gossip links.
+const MAX_BROKERS_WITHOUT_GOSSIP: usize = 8;
+/// Default of [`Options::full_service_hold`], in seconds.
 pub const FULL_SERVICE_HOLD: usize = 10;
 
-/// What a run needs beside its scenario.
+/// Options of a run besides its scenario.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The broker's program.
     pub program: PathBuf,
-    /// A folder for configuration, logs and the record; made if it is missing.
+    /// Folder for configuration, logs and the record; created if it is missing.
     pub dir: PathBuf,
     /// The scenario's name.
     pub name: String,
-    /// Changes to the brokers' settings: a path in them, and a value. To see checks fail, and to compare.
+    /// Overrides of the brokers' settings: a JSON pointer and a value. For comparisons, and to show that checks fail.
     pub setting_overrides: Vec<(String, Value)>,
-    /// How long the stand-in servers know a key; the settings' window is 5 s.
+    /// How long the stand-in servers remember an idempotency key; the window in the brokers' settings is 5 s.
     pub idempotency_window: Duration,
-    /// Seconds of full service in a row that end the time to it.
+    /// Consecutive seconds of full service that count as recovered.
     pub full_service_hold: usize,
-    /// Whether a broker starts with the list as it was at the run's start, as the platform gives one; else it
-    /// knows no server until discovery has told it.
+    /// Whether a broker starts with the server list as it was at the run's start, as on the platform; otherwise it
+    /// knows no server until discovery has sent a list.
     pub has_initial_list: bool,
-    /// A drain that a broker was told binds it over a restart too, as it has a store; on the platform nothing does.
+    /// A server's drain that a broker was told of binds that broker across a restart as well, since it has a store;
+    /// on the platform it does not.
     pub drains_persist: bool,
-    /// A broker that has not come up in this time has not started.
+    /// A broker that is not up within this time has failed to start.
     pub start_timeout: Duration,
-    /// Rolls kill brokers in place of telling them to end: to see what that costs.
+    /// Rolling restarts kill brokers instead of sending SIGTERM, to measure what that costs.
     pub kill_on_roll: bool,
-    /// Each broker writes what it decided, and why, to trace files in a folder of its own.
+    /// Each broker writes its decisions and their reasons to trace files in a folder of its own.
     pub trace: bool,
-    /// The process that is to take over in an upgrade takes clients by then.
+    /// The successor process of an upgrade must accept clients within this time.
     pub ready_timeout: Duration,
-    /// Upgrades kill the running process and start the one that is to take over so much later: to see what that
-    /// costs.
+    /// Upgrades kill the running process and start its successor this much later, to measure what that costs.
     pub upgrade_gap: Option<Duration>,
-    /// The library that holds brokers up before writes; needed where the scenario does.
+    /// The library that delays brokers before writes; required if the scenario has a `hold` event.
     pub write_delay_library: Option<PathBuf>,
 }
 
 impl Options {
-    /// The usual ones.
+    /// The default options.
     pub fn new(program: &Path, dir: &Path, name: &str) -> Self {
         let (dir, name) = (dir.to_owned(), name.to_owned());
         Options {
@@ -99,52 +102,56 @@
             full_service_hold: FULL_SERVICE_HOLD,
             has_initial_list: true,
             drains_persist: false,
-            start_timeout: STARTS_IN,
+            start_timeout: START_TIMEOUT,
             kill_on_roll: false,
             trace: false,
-            ready_timeout: READY_WITHIN,
+            ready_timeout: READY_TIMEOUT,
             upgrade_gap: None,
             write_delay_library: write_delay::library_beside(program),
         }
     }
 }
 
-/// A broker of the fleet.
+/// State of one broker of the fleet, over all of its processes.
 #[derive(Default)]
 struct Broker {
     process: Option<Process>,
-    /// Which of its starts the process is.
+    /// Which of the broker's starts the current process is, from 1.
     run: u32,
     starts: u32,
-    /// Which of its control addresses the process has.
+    /// Index of the control address that the current process uses.
     control: usize,
-    /// The process that is to take over.
-    next: Option<upgrade::Next>,
-    /// The process that it took over from, until that has ended.
-    old: Option<upgrade::Old>,
-    /// Starts in a row that failed.
-    failed: u32,
-    /// It was told to end, or was killed, and is not to be held for crashed.
-    ends: bool,
-    /// It is to be started once it has ended.
-    again: bool,
-    /// It was killed, as it had not ended in its time.
+    /// The process of an upgrade that is not ready yet.
+    successor: Option<upgrade::Successor>,
+    /// The process that the current one has replaced, until it has exited.
+    predecessor: Option<upgrade::Predecessor>,
+    /// Consecutive starts that failed.
+    failed_starts: u32,
+    /// It was sent SIGTERM or killed, so that its exit is no crash.
+    stopping: bool,
+    /// It is to be started once the process has exited.
+    restart_pending: bool,
+    /// It was killed, on purpose or since it had not exited in time.
     killed: bool,
-    /// When it was started, until it is ready.
-    started: Option<Duration>,
+    /// When it was started, until it is up.
+    starting_since: Option<Duration>,
+    /// Its client address, once it listens.
     address: Option<SocketAddr>,
-    /// Whether discovery was moved for it.
-    moved: bool,
-    /// Processor time of its processes that have ended, and the last figure of the running one.
-    cpu: [f64; 2],
+    /// Whether its discovery address has been moved by a reload.
+    discovery_moved: bool,
+    /// Processor time of its processes that have ended, in seconds.
+    ended_cpu: f64,
+    /// Processor time of the running process at the last sample, in seconds.
+    running_cpu: f64,
+    /// Peak resident memory of a process, in MiB.
     memory_mb: f64,
     warnings: u32,
 }
 
-/// The ports of a broker, over all of its processes.
+/// The ports of a broker, which all of its processes share.
 struct Ports {
     clients: ReservedPort,
-    /// Two, so that the processes of an upgrade each have one.
+    /// Two, so that both processes of an upgrade have one.
     control: [ReservedPort; 2],
 }
 
@@ -154,47 +161,51 @@
     }
 }
 
-/// What falls due for the runner itself.
+/// Something that the runner does at a given time.
 #[derive(Clone, Debug, PartialEq)]
-enum Due {
+enum Task {
+    /// Applies an act of the schedule.
     Act(Act),
-    /// The front learns that a broker is gone.
-    Unlist(usize, u32),
-    /// A broker that was told to end is looked at.
-    Hangs(usize, u32),
-    /// Processor time and memory are read.
-    Sample,
-    /// Brokers that are starting are asked whether they are up.
-    Ask,
-    /// The process that is to take over is started.
-    StartNext(usize),
-    /// The process that is to take over is asked whether it is ready.
-    AskReady(usize),
-    /// The process that was taken over from is killed, if it is still there.
-    KillOld(usize, u32),
-    /// What clients hold of a broker that drains is looked at; by the drain's number.
+    /// Removes a broker from the front, if the given run is still its current one.
+    RemoveFromFront(usize, u32),
+    /// Kills a broker that was sent SIGTERM, if the given run has not exited.
+    CheckStopped(usize, u32),
+    /// Reads processor time and memory.
+    SampleUsage,
+    /// Polls the brokers that are starting.
+    CheckStarting,
+    /// Starts the successor process of an upgrade.
+    StartSuccessor(usize),
+    /// Polls the successor process for readiness.
+    CheckReady(usize),
+    /// Kills the predecessor process with the given run, if it has not exited.
+    KillPredecessor(usize, u32),
+    /// Checks how clients use a draining broker; by the drain's index.
     CheckDrain(usize),
-    /// A broker whose drain is over is asked whether it is up; by the drain's number.
-    AskBack(usize),
+    /// Polls a broker whose drain was stopped; by the drain's index.
+    CheckBack(usize),
 }
 
+/// A running fleet. Times are since `base`.
 struct Fleet<'a> {
     scenario: &'a Scenario,
     options: &'a Options,
     base: Instant,
-    offset: Duration,
+    /// When the clients start; the times of the schedule count from it.
+    clients_start: Duration,
     world: World,
     proxy: Proxy,
     links: FleetLinks,
     clients: Option<Clients>,
     brokers: Vec<Broker>,
     ports: Vec<Ports>,
-    notes: Sender<ProcessEvent>,
-    heard: Receiver<ProcessEvent>,
-    due: Vec<(Duration, Due)>,
+    event_sender: Sender<ProcessEvent>,
+    events: Receiver<ProcessEvent>,
+    tasks: Vec<(Duration, Task)>,
     gathered: Gathered,
-    /// By broker: connections of clients that ask for nothing.
-    crowds: Vec<Vec<TcpStream>>,
+    /// By broker: connections of clients that send no request.
+    idle_clients: Vec<Vec<TcpStream>>,
+    /// Processor time of the fleet at the last sample, in seconds.
     cpu_before: f64,
 }
 
@@ -202,7 +213,8 @@
 ///
 /// # Errors
 ///
-/// When the harness itself can't do its part: no port, no descriptor, no folder, or no broker that starts.
+/// When the harness itself fails: no free port or descriptor, an I/O error in the folder, or a broker that does not
+/// start.
 pub fn run(scenario: &Scenario, options: &Options) -> io::Result<Record> {
     fs::create_dir_all(&options.dir)?;
     write_delay::check(scenario, options)?;
@@ -210,7 +222,7 @@
     let base = Instant::now();
     let mut builder = Builder::new(scenario.seed);
     let mut links = FleetLinks::default();
-    let world = World::start(setting(scenario, options, &schedule), base, |tiles| {
+    let world = World::start(world_config(scenario, options, &schedule), base, |tiles| {
         let mut addresses: Vec<Vec<SocketAddr>> = Vec::new();
         for _ in 0..scenario.brokers {
             let linked: Vec<(Link, SocketAddr)> =
@@ -226,8 +238,8 @@
         links.discovery.push([one.0, other.0]);
         links.discovery_addresses.push([one.1, other.1]);
     }
-    if scenario.brokers > FEW {
-        // Each holds its port until all are drawn, so that no two get the same.
+    if scenario.brokers > MAX_BROKERS_WITHOUT_GOSSIP {
+        // The sockets stay open until all ports are chosen, so that no two brokers get the same one.
         let sockets: Vec<UdpSocket> =
             (0..scenario.brokers).map(|_| UdpSocket::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
         links.gossip_listen = sockets.iter().map(UdpSocket::local_addr).collect::<Result<_, _>>()?;
@@ -242,31 +254,31 @@
         }
     }
     let proxy = builder.start()?;
-    // Servers of later are not there yet.
+    // Servers that join later are down at first.
     let later: Vec<usize> = (scenario.servers..scenario.servers + schedule.later.len()).collect();
     proxy.tell(ProxyTell::Down(links.select(&Links::Servers(later), scenario)));
-    let (notes, heard) = mpsc::channel();
+    let (event_sender, events) = mpsc::channel();
     let brokers = (0..scenario.brokers).map(|_| Broker::default()).collect();
     let ports = (0..scenario.brokers).map(|_| Ports::new()).collect::<Result<_, _>>()?;
     let mut fleet = Fleet {
         scenario,
         options,
         base,
-        offset: Duration::ZERO,
+        clients_start: Duration::ZERO,
         world,
         proxy,
         links,
         clients: None,
         brokers,
         ports,
-        notes,
-        heard,
-        due: Vec::new(),
+        event_sender,
+        events,
+        tasks: Vec::new(),
         gathered: Gathered::default(),
-        crowds: (0..scenario.brokers).map(|_| Vec::new()).collect(),
+        idle_clients: (0..scenario.brokers).map(|_| Vec::new()).collect(),
         cpu_before: 0.0,
     };
-    fleet.play(&schedule)
+    fleet.run(&schedule)
 }
 
 impl Fleet<'_> {
@@ -274,38 +286,38 @@
         self.base.elapsed()
     }
 
-    fn arm(&mut self, at: Duration, what: Due) {
-        self.due.push((at, what));
+    fn schedule(&mut self, at: Duration, task: Task) {
+        self.tasks.push((at, task));
     }
 
-    fn play(&mut self, schedule: &Schedule) -> io::Result<Record> {
+    fn run(&mut self, schedule: &Schedule) -> io::Result<Record> {
         for broker in 0..self.scenario.brokers {
             self.start(broker)?;
         }
-        self.arm(Duration::from_secs(1), Due::Sample);
-        self.arm(Duration::ZERO, Due::Ask);
-        while self.brokers.iter().any(|broker| broker.address.is_none() || broker.started.is_some()) {
+        self.schedule(Duration::from_secs(1), Task::SampleUsage);
+        self.schedule(Duration::ZERO, Task::CheckStarting);
+        while self.brokers.iter().any(|broker| broker.address.is_none() || broker.starting_since.is_some()) {
             if !self.gathered.crashed.is_empty() {
                 return Err(io::Error::other(self.gathered.crashed[0].1.clone()));
             }
-            self.turn()?;
+            self.step()?;
         }
-        // Whole seconds before the clients start, so that rows of all counts lie on the same seconds.
-        self.offset = Duration::from_secs(self.now().as_secs() + 1);
+        // Clients start on a whole second, so that the rows of all counts cover the same seconds.
+        self.clients_start = Duration::from_secs(self.now().as_secs() + 1);
         for (at, act) in &schedule.acts {
-            self.arm(*at + self.offset, Due::Act(act.clone()));
+            self.schedule(*at + self.clients_start, Task::Act(act.clone()));
         }
         let mut rng = ChaCha8Rng::seed_from_u64(self.scenario.seed ^ 0xc11e);
-        // From a half to twice the mean: traffic is spread unevenly.
+        // Weights from 0.5 to 2, so that traffic is spread unevenly.
         let weights: Vec<f64> =
             (0..self.scenario.brokers).map(|_| 2_f64.powf(rng.random::<f64>() * 2.0 - 1.0)).collect();
         let load = Load {
             rate: self.scenario.rate * self.scenario.brokers as f64,
             weights,
             parts: self.scenario.parts,
-            blocks: blocks(self.scenario),
-            classes: classes(self.scenario),
-            start: self.offset,
+            blocks: block_count(self.scenario),
+            classes: query_classes(self.scenario),
+            start: self.clients_start,
             duration: Duration::from_secs(self.scenario.seconds),
             seed: self.scenario.seed,
             pooled: self.scenario.pooled,
@@ -316,28 +328,32 @@
             clients.send(ClientCommand::SetBroker(n, broker.address));
         }
         self.clients = Some(clients);
-        let ends = schedule.ends() + self.offset;
-        let asked = |fleet: &Self| fleet.clients.as_ref().is_some_and(|clients| !clients.is_finished());
-        while self.now() < ends || asked(self) || !self.is_settled() {
-            self.turn()?;
+        let schedule_end = schedule.ends() + self.clients_start;
+        let clients_run = |fleet: &Self| fleet.clients.as_ref().is_some_and(|clients| !clients.is_finished());
+        while self.now() < schedule_end || clients_run(self) || !self.is_idle() {
+            self.step()?;
         }
-        let Some(clients) = self.clients.take() else { return Err(io::Error::other("no clients")) };
+        let Some(clients) = self.clients.take() else {
+            return Err(io::Error::other("the clients are not running"));
+        };
         let seen = clients.join()?;
         self.brokers.iter_mut().for_each(|broker| broker.process = None);
-        let rough: Vec<(Duration, Duration)> = self.scenario.events.iter().filter_map(rough).collect();
+        let cut_spans: Vec<(Duration, Duration)> =
+            self.scenario.events.iter().filter_map(frame_cut_span).collect();
         let ledger = self.world.ledger();
-        let broken = record::breaches(&ledger, &seen, &self.gathered, schedule, self.offset, &rough);
-        let rows = record::rows(&ledger, &seen, &self.gathered, self.offset.as_secs());
+        let broken =
+            record::breaches(&ledger, &seen, &self.gathered, schedule, self.clients_start, &cut_spans);
+        let rows = record::rows(&ledger, &seen, &self.gathered, self.clients_start.as_secs());
         let fault_at = schedule.acts.first().map(|(at, _)| at.as_secs_f64());
         let (steady, full_service_s) = record::full_service(&rows, fault_at, self.options.full_service_hold);
-        let asked: u32 = rows.iter().map(|row| row.offered).sum();
+        let offered: u32 = rows.iter().map(|row| row.offered).sum();
         let parts: u32 = rows.iter().map(|row| row.parts).sum();
         let ms = |quantile: f64| seen.times.value_at_quantile(quantile) as f64 / 1e3;
-        let at = |at: Duration| at.as_secs_f64() - self.offset.as_secs_f64();
+        let at = |at: Duration| at.as_secs_f64() - self.clients_start.as_secs_f64();
         let broken = broken.into_iter();
         let used = |broker: &Broker| Used {
             starts: broker.starts,
-            cpu: broker.cpu[0] + broker.cpu[1],
+            cpu: broker.ended_cpu + broker.running_cpu,
             memory_mb: broker.memory_mb,
             warnings: broker.warnings,
         };
@@ -351,11 +367,11 @@
             steady,
             times_ms: [ms(0.5), ms(0.99)],
             lateness_ms: seen.lateness.as_secs_f64() * 1e3,
-            attempts_per_part: f64::from(parts) / (f64::from(asked.max(1)) * self.scenario.parts as f64),
+            attempts_per_part: f64::from(parts) / (f64::from(offered.max(1)) * self.scenario.parts as f64),
             repeated: ledger.repeated,
             used: self.brokers.iter().map(used).collect(),
-            upgrades: record::upgrades(&self.gathered, self.offset),
-            drains: record::drains(&self.gathered, self.offset),
+            upgrades: record::upgrades(&self.gathered, self.clients_start),
+            drains: record::drains(&self.gathered, self.clients_start),
             broken: broken
                 .map(|b| Broken { at: at(b.at), rule: format!("{:?}", b.rule), what: b.what })
                 .collect(),
@@ -365,97 +381,99 @@
         Ok(record)
     }
 
-    /// Waits for what comes next, and does it.
-    fn turn(&mut self) -> io::Result<()> {
+    /// Waits up to 100 ms for a process event or the next task, and handles what has come.
+    fn step(&mut self) -> io::Result<()> {
         let now = self.now();
-        let next = self.due.iter().map(|(at, _)| *at).min().unwrap_or(now + Duration::from_millis(100));
+        let next = self.tasks.iter().map(|(at, _)| *at).min().unwrap_or(now + Duration::from_millis(100));
         let pause = next.saturating_sub(now).min(Duration::from_millis(100));
-        match self.heard.recv_timeout(pause) {
-            Ok(note) => self.hear(note)?,
+        match self.events.recv_timeout(pause) {
+            Ok(event) => self.handle_event(event)?,
             Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {}
         }
         let now = self.now();
-        let mut due: Vec<(Duration, Due)> = self.due.extract_if(.., |(at, _)| *at <= now).collect();
+        let mut due: Vec<(Duration, Task)> = self.tasks.extract_if(.., |(at, _)| *at <= now).collect();
         due.sort_by_key(|(at, _)| *at);
-        for (_, what) in due {
-            self.falls_due(what)?;
+        for (_, task) in due {
+            self.run_task(task)?;
         }
         Ok(())
     }
 
-    fn falls_due(&mut self, what: Due) -> io::Result<()> {
-        match what {
-            Due::Act(act) => self.act(act)?,
-            Due::Unlist(broker, run) => {
+    fn run_task(&mut self, task: Task) -> io::Result<()> {
+        match task {
+            Task::Act(act) => self.apply(act)?,
+            Task::RemoveFromFront(broker, run) => {
                 if self.brokers[broker].run == run {
-                    self.list(broker, None);
+                    self.set_front(broker, None);
                 }
             }
-            Due::Hangs(broker, run) => {
+            Task::CheckStopped(broker, run) => {
                 let hangs = self.brokers[broker].run == run && self.brokers[broker].process.is_some();
                 if hangs && self.scenario.kills_early {
                     self.brokers[broker].killed = true;
                     self.signal(broker, Signal::KILL);
                 } else if hangs {
-                    let what = format!("b{broker} did not end after SIGTERM");
+                    let what = format!("b{broker} did not exit after SIGTERM");
                     self.gathered.crashed.push((self.now(), what));
                     self.signal(broker, Signal::KILL);
                 }
             }
-            Due::Sample => {
+            Task::SampleUsage => {
                 self.sample();
                 let next = Duration::from_secs(self.now().as_secs() + 1);
-                self.arm(next, Due::Sample);
+                self.schedule(next, Task::SampleUsage);
             }
-            Due::Ask => {
-                let waits: Vec<usize> =
-                    (0..self.brokers.len()).filter(|b| self.brokers[*b].started.is_some()).collect();
-                for broker in waits {
-                    self.ask_up(broker);
+            Task::CheckStarting => {
+                let starting: Vec<usize> =
+                    (0..self.brokers.len()).filter(|b| self.brokers[*b].starting_since.is_some()).collect();
+                for broker in starting {
+                    self.check_starting(broker);
                 }
-                if self.brokers.iter().any(|broker| broker.started.is_some()) {
-                    self.arm(self.now() + ASK_AGAIN, Due::Ask);
+                if self.brokers.iter().any(|broker| broker.starting_since.is_some()) {
+                    self.schedule(self.now() + POLL_INTERVAL, Task::CheckStarting);
                 }
             }
-            Due::StartNext(broker) => self.start_next(broker)?,
-            Due::AskReady(broker) => self.ask_ready(broker),
-            Due::KillOld(broker, run) => self.kill_old(broker, run),
-            Due::CheckDrain(drain) => self.check_drain(drain),
-            Due::AskBack(drain) => self.ask_back(drain),
+            Task::StartSuccessor(broker) => self.start_successor(broker)?,
+            Task::CheckReady(broker) => self.check_ready(broker),
+            Task::KillPredecessor(broker, run) => self.kill_predecessor(broker, run),
+            Task::CheckDrain(drain) => self.check_drain(drain),
+            Task::CheckBack(drain) => self.check_back(drain),
         }
         Ok(())
     }
 
-    fn act(&mut self, act: Act) -> io::Result<()> {
+    fn apply(&mut self, act: Act) -> io::Result<()> {
         match act {
             Act::Kill(broker) => {
-                (self.brokers[broker].ends, self.brokers[broker].killed) = (true, true);
+                (self.brokers[broker].stopping, self.brokers[broker].killed) = (true, true);
                 self.signal(broker, Signal::KILL);
                 let run = self.brokers[broker].run;
-                self.arm(self.now() + NOTICED, Due::Unlist(broker, run));
+                self.schedule(self.now() + FRONT_DELAY, Task::RemoveFromFront(broker, run));
+            }
+            // The old process may not have been waited for yet; the start follows once it has.
+            Act::Start(broker) if self.brokers[broker].process.is_some() => {
+                self.brokers[broker].restart_pending = true
             }
-            // Its old process may not be reaped yet: it is started once it is.
-            Act::Start(broker) if self.brokers[broker].process.is_some() => self.brokers[broker].again = true,
             Act::Start(broker) => self.start(broker)?,
             Act::Restart(broker) => {
-                let ends_in =
-                    if self.scenario.kills_early { upgrade::kill_after(self.scenario) } else { STOPS_IN };
+                let grace =
+                    if self.scenario.kills_early { upgrade::stop_grace(self.scenario) } else { STOP_TIMEOUT };
                 let state = &mut self.brokers[broker];
-                let was_told = std::mem::replace(&mut state.ends, true);
-                state.again = true;
+                let was_stopping = std::mem::replace(&mut state.stopping, true);
+                state.restart_pending = true;
                 let run = state.run;
                 self.signal(broker, if self.options.kill_on_roll { Signal::KILL } else { Signal::TERM });
-                if !was_told {
-                    self.arm(self.now() + LAST_CLIENTS, Due::Unlist(broker, run));
-                    self.arm(self.now() + ends_in, Due::Hangs(broker, run));
+                if !was_stopping {
+                    self.schedule(self.now() + FRONT_DELAY_ON_STOP, Task::RemoveFromFront(broker, run));
+                    self.schedule(self.now() + grace, Task::CheckStopped(broker, run));
                 }
             }
             Act::Hup(broker) => self.signal(broker, Signal::HUP),
             Act::CrowdComes(broker, clients) => {
                 let address = self.ports[broker].clients.address();
-                self.crowds[broker] = idle_clients::connect(address, clients);
+                self.idle_clients[broker] = idle_clients::connect(address, clients);
             }
-            Act::CrowdLeaves(broker) => self.crowds[broker].clear(),
+            Act::CrowdLeaves(broker) => self.idle_clients[broker].clear(),
             Act::Upgrade(broker) => self.upgrade(broker)?,
             Act::StartDrain(broker) => self.start_drain(broker),
             Act::StopDrain(broker) => self.stop_drain(broker),
@@ -476,15 +494,15 @@
                 }
             }
             Act::Reload(broker) => {
-                self.brokers[broker].moved = true;
-                self.configure(broker)?;
+                self.brokers[broker].discovery_moved = true;
+                self.write_config(broker)?;
                 self.signal(broker, Signal::HUP);
             }
             Act::World(WorldTell::TurnAwayUntil(until)) => {
-                self.world.tell(WorldTell::TurnAwayUntil(until + self.offset));
+                self.world.tell(WorldTell::TurnAwayUntil(until + self.clients_start));
             }
             Act::World(WorldTell::SilentUntil(until)) => {
-                self.world.tell(WorldTell::SilentUntil(until + self.offset));
+                self.world.tell(WorldTell::SilentUntil(until + self.clients_start));
             }
             Act::World(tell) => self.world.tell(tell),
             Act::Server(server, up) => {
@@ -499,12 +517,15 @@
         Ok(())
     }
 
-    /// Whether no upgrade and no drain is under way.
-    fn is_settled(&self) -> bool {
-        let upgrades = self.brokers.iter().any(|broker| broker.next.is_some() || broker.old.is_some());
-        !upgrades && !self.due.iter().any(|(_, due)| matches!(due, Due::StartNext(_) | Due::AskBack(_)))
+    /// Whether no upgrade is under way and no drain is being stopped.
+    fn is_idle(&self) -> bool {
+        let upgrades =
+            self.brokers.iter().any(|broker| broker.successor.is_some() || broker.predecessor.is_some());
+        !upgrades
+            && !self.tasks.iter().any(|(_, due)| matches!(due, Task::StartSuccessor(_) | Task::CheckBack(_)))
     }
 
+    /// The control address of a broker's current process.
     fn control(&self, broker: usize) -> SocketAddr {
         self.ports[broker].control[self.brokers[broker].control].address()
     }
@@ -519,26 +540,28 @@
         }
     }
 
-    fn list(&self, broker: usize, at: Option<SocketAddr>) {
+    /// Tells the front a broker's address, or that it is gone.
+    fn set_front(&self, broker: usize, at: Option<SocketAddr>) {
         if let Some(clients) = &self.clients {
             clients.send(ClientCommand::SetBroker(broker, at));
         }
     }
 
-    fn file(&self, broker: usize, end: &str) -> PathBuf {
-        self.options.dir.join(format!("b{broker}.{end}"))
+    fn file(&self, broker: usize, extension: &str) -> PathBuf {
+        self.options.dir.join(format!("b{broker}.{extension}"))
     }
 
-    /// Writes a broker's configuration.
-    fn configure(&self, broker: usize) -> io::Result<()> {
+    /// Writes a broker's configuration file.
+    fn write_config(&self, broker: usize) -> io::Result<()> {
         let state = &self.brokers[broker];
-        let mut settings = settings(self.scenario, broker);
+        let mut settings = broker_settings(self.scenario, broker);
         for (path, value) in &self.options.setting_overrides {
-            let target =
-                settings.pointer_mut(path).ok_or_else(|| io::Error::other(format!("no setting {path}")))?;
+            let target = settings
+                .pointer_mut(path)
+                .ok_or_else(|| io::Error::other(format!("the brokers' settings have no {path}")))?;
             *target = value.clone();
         }
-        let list = self.links.discovery_addresses[broker][usize::from(state.moved)];
+        let list = self.links.discovery_addresses[broker][usize::from(state.discovery_moved)];
         let mut config = json!({"name": format!("b{broker}"), "seed": format!("{:x}", self.scenario.seed * 1000 + broker as u64 + 1),
             "discovery": list.to_string(), "settings": settings});
         if let Some(hears) = self.links.gossip_listen.get(broker) {
@@ -549,9 +572,9 @@
         }
         if self.options.has_initial_list {
             let servers = (0..self.scenario.servers).map(|server| {
-                let placed = placed(self.scenario, server, server % self.scenario.cells, true);
+                let config = server_config(self.scenario, server, server % self.scenario.cells, true);
                 let address = self.links.tile_addresses[broker][server].to_string();
-                json!({"name": placed.name, "address": address, "zone": placed.zone, "group": placed.cell,
+                json!({"name": config.name, "address": address, "zone": config.zone, "group": config.cell,
                     "status": "up", "weight": 1.0, "since_ms": 0})
             });
             config["known"] = json!({"index": 1, "snapshot": true, "endpoints": servers.collect::<Vec<_>>()});
@@ -560,22 +583,23 @@
     }
 
     fn start(&mut self, broker: usize) -> io::Result<()> {
-        self.configure(broker)?;
+        self.write_config(broker)?;
         let control = 1 - self.brokers[broker].control;
         let run = self.brokers[broker].starts + 1;
         let process = self.spawn(broker, run, control)?;
         let now = self.now();
         let state = &mut self.brokers[broker];
         (state.run, state.control) = (run, control);
-        (state.ends, state.again, state.started, state.address) = (false, false, Some(now), None);
+        (state.stopping, state.restart_pending, state.starting_since, state.address) =
+            (false, false, Some(now), None);
         state.process = Some(process);
-        if !self.due.iter().any(|(_, due)| *due == Due::Ask) {
-            self.arm(now, Due::Ask);
+        if !self.tasks.iter().any(|(_, due)| *due == Task::CheckStarting) {
+            self.schedule(now, Task::CheckStarting);
         }
         Ok(())
     }
 
-    /// Starts a process of a broker, with its configuration as it stands and one of its control addresses.
+    /// Starts a process of a broker with its current configuration file and the given control address.
     fn spawn(&mut self, broker: usize, run: u32, control: usize) -> io::Result<Process> {
         let ports = &self.ports[broker];
         let mut command = Command::new(&self.options.program);
@@ -583,31 +607,31 @@
             .env("BALANCER_CONFIG", self.file(broker, "json"))
             .env("BALANCER_LISTEN", ports.clients.address().to_string())
             .env("BALANCER_CONTROL", ports.control[control].address().to_string())
-            .env("TMPDIR", self.folder(broker)?)
+            .env("TMPDIR", self.temp_dir(broker)?)
             .env("BALANCER_LOG_FORMAT", "json")
-            .env("BALANCER_SERVICE", self.service(broker)?)
+            .env("BALANCER_SERVICE", self.write_service_file(broker)?)
             .env_remove("BALANCER_DISCOVERY")
             .env_remove("BALANCER_NAME")
             .current_dir(&self.options.dir);
         self.preload_write_delay(broker, &mut command)?;
         let log = self.file(broker, "log");
-        let process = Process::start(command, &log, broker, run, self.notes.clone())?;
+        let process = Process::start(command, &log, broker, run, self.event_sender.clone())?;
         self.brokers[broker].starts = run;
         self.world.tell(WorldTell::BrokerStarts(broker));
         Ok(process)
     }
 
-    /// The folder for what a broker's processes share.
-    fn folder(&self, broker: usize) -> io::Result<PathBuf> {
+    /// The `TMPDIR` that all processes of a broker share.
+    fn temp_dir(&self, broker: usize) -> io::Result<PathBuf> {
         let path = self.file(broker, "tmp");
         fs::create_dir_all(&path)?;
         fs::canonicalize(path)
     }
 
-    /// A broker's operator's file: the store and the traces, where it has them, and nothing else.
-    fn service(&self, broker: usize) -> io::Result<PathBuf> {
+    /// Writes a broker's service file with the store and the trace folder, if the run has them, and returns its path.
+    fn write_service_file(&self, broker: usize) -> io::Result<PathBuf> {
         let path = self.file(broker, "yaml");
-        let mut text = "# What goes beyond the platform.\n".to_owned();
+        let mut text = "# Settings beyond the platform's.\n".to_owned();
         if self.scenario.store {
             let state = fs::canonicalize(&self.options.dir)?.join(format!("b{broker}.state"));
             text += &format!("store: {{path: \"{}\"}}\n", state.display());
@@ -620,63 +644,64 @@
         fs::canonicalize(path)
     }
 
-    /// Takes a broker that is starting into the front once it says that it is up.
-    fn ask_up(&mut self, broker: usize) {
+    /// Polls a broker that is starting, and adds it to the front once it is up.
+    fn check_starting(&mut self, broker: usize) {
         let now = self.now();
         let state = &mut self.brokers[broker];
-        let Some(started) = state.started else { return };
+        let Some(started) = state.starting_since else { return };
         if now.saturating_sub(started) > self.options.start_timeout {
-            state.started = None;
+            state.starting_since = None;
             let what = format!("b{broker} was not up {:?} after its start", self.options.start_timeout);
             self.gathered.crashed.push((now, what));
             return;
         }
         if let Some(at) = state.address.filter(|at| control::is_up(*at)) {
-            state.started = None;
-            state.failed = 0;
-            self.list(broker, Some(at));
+            state.starting_since = None;
+            state.failed_starts = 0;
+            self.set_front(broker, Some(at));
         }
     }
 
-    fn hear(&mut self, note: ProcessEvent) -> io::Result<()> {
-        let (now, state) = (self.now(), &mut self.brokers[note.broker]);
-        match note.event {
-            LogEvent::Listening(at) if note.run == state.run => state.address = Some(at),
+    fn handle_event(&mut self, event: ProcessEvent) -> io::Result<()> {
+        let (now, state) = (self.now(), &mut self.brokers[event.broker]);
+        match event.event {
+            LogEvent::Listening(at) if event.run == state.run => state.address = Some(at),
             LogEvent::Warning(_) => {
                 state.warnings += 1;
                 *self.gathered.warnings.entry(now.as_secs()).or_default() += 1;
             }
-            LogEvent::Ended if note.run == state.run => {
+            LogEvent::Ended if event.run == state.run => {
                 let Some(mut process) = state.process.take() else { return Ok(()) };
                 let status = process.wait()?;
-                state.cpu = [state.cpu[0] + state.cpu[1], 0.0];
+                state.ended_cpu += state.running_cpu;
+                state.running_cpu = 0.0;
                 if !self.options.drains_persist {
-                    self.world.tell(WorldTell::BrokerGone(note.broker));
+                    self.world.tell(WorldTell::BrokerGone(event.broker));
                 }
-                // Another process may have taken its port between the choice and the bind.
-                let failed_to_start = state.started.take().is_some() && !state.ends;
-                state.failed += u32::from(failed_to_start);
-                let retry = failed_to_start && state.failed <= STARTS;
+                // Another process may have taken one of its ports before it could listen.
+                let failed_to_start = state.starting_since.take().is_some() && !state.stopping;
+                state.failed_starts += u32::from(failed_to_start);
+                let retry = failed_to_start && state.failed_starts <= MAX_START_RETRIES;
                 let ended_badly =
-                    state.again && !state.killed && !self.options.kill_on_roll && !status.success();
+                    state.restart_pending && !state.killed && !self.options.kill_on_roll && !status.success();
                 if ended_badly && self.scenario.kills_early {
-                    let what = format!("b{} was told to end, and ended with {status}", note.broker);
+                    let what = format!("b{} exited after SIGTERM with {status}", event.broker);
                     self.gathered.crashed.push((now, what));
                 }
                 state.killed = false;
-                let (run, crashed) = (state.run, !state.ends && !retry);
-                let again = state.again || retry;
+                let (run, crashed) = (state.run, !state.stopping && !retry);
+                let again = state.restart_pending || retry;
                 if crashed {
-                    let what = format!("b{} ended by itself: {status}", note.broker);
+                    let what = format!("b{} exited unexpectedly: {status}", event.broker);
                     self.gathered.crashed.push((now, what));
-                    // Nobody told the front: it notices as it does after a kill.
-                    self.arm(now + NOTICED, Due::Unlist(note.broker, run));
+                    // The front notices it only after a delay, as after a kill.
+                    self.schedule(now + FRONT_DELAY, Task::RemoveFromFront(event.broker, run));
                 }
                 if again {
-                    self.start(note.broker)?;
+                    self.start(event.broker)?;
                 }
             }
-            LogEvent::Ended => self.ended_in_upgrade(note.broker, note.run)?,
+            LogEvent::Ended => self.upgrade_process_ended(event.broker, event.run)?,
             LogEvent::Listening(_) => {}
         }
         Ok(())
@@ -686,13 +711,15 @@
         let (mut cpu, mut memory) = (0.0, 0.0_f64);
         for broker in &mut self.brokers {
             if let Some(used) = broker.process.as_ref().and_then(Process::resource_usage) {
-                broker.cpu[1] = used.cpu_seconds;
+                broker.running_cpu = used.cpu_seconds;
                 let resident = used.resident_bytes as f64 / (1024.0 * 1024.0);
                 broker.memory_mb = broker.memory_mb.max(resident);
                 memory = memory.max(resident);
             }
-            broker.old.iter_mut().for_each(upgrade::Old::sample);
-            cpu += broker.cpu[0] + broker.cpu[1] + broker.old.as_ref().map_or(0.0, |old| old.cpu);
+            broker.predecessor.iter_mut().for_each(upgrade::Predecessor::sample);
+            cpu += broker.ended_cpu
+                + broker.running_cpu
+                + broker.predecessor.as_ref().map_or(0.0, |old| old.cpu);
         }
         let second = self.now().as_secs().saturating_sub(1);
         self.gathered.uses.insert(second, ((cpu - self.cpu_before).max(0.0), memory));
@@ -700,8 +727,8 @@
     }
 }
 
-/// The span in which an event's faults may cut frames.
-fn rough(event: &crate::scenario::Event) -> Option<(Duration, Duration)> {
+/// The time span in which an event's faults may cut frames, if they may.
+fn frame_cut_span(event: &crate::scenario::Event) -> Option<(Duration, Duration)> {
     match &event.fault {
         Fault::Network { reset, lasts, .. } if *reset > 0.0 => Some((event.at, event.at + *lasts)),
         Fault::LoseZone { lasts, .. } | Fault::Partition { lasts, .. } => Some((event.at, event.at + *lasts)),
--- a/crates/fleet/src/run/settings.rs
+++ b/crates/fleet/src/run/settings.rs
@@ -1,5 +1,4 @@
-//! The settings that the harness's platform gives a broker, what it tells the stand-ins, and the classes that its clients
-//! ask.
+//! What a run configures: the brokers' platform settings, the stand-ins, and the classes of the clients' queries.
 
 use std::time::Duration;
 
@@ -13,16 +12,16 @@
 use crate::scenario::Scenario;
 use crate::schedule::{Schedule, zone_of};
 
-/// The window of keyed queries.
+/// Default idempotency window of keyed queries.
 pub const IDEMPOTENCY_WINDOW: Duration = Duration::from_secs(5);
 
-/// What a query of each class earns, in their order.
+/// The `credit` setting of each class, in the order of [`query_classes`].
 const CREDITS: [f64; 4] = [1.0, 2.0, 5.0, 3.0];
-/// What an answer that is not whole is worth, by class.
+/// The `incompleteWorth` setting of each class, in the order of [`query_classes`].
 const INCOMPLETE_WORTH: [f64; 4] = [0.9, 0.9, 0.8, 0.9];
 
-/// The classes that clients ask.
-pub fn classes(scenario: &Scenario) -> Vec<Class> {
+/// The classes of the clients' queries.
+pub fn query_classes(scenario: &Scenario) -> Vec<Class> {
     let class = |name: &str, retry_safety: RetrySafety, min_share: f64, share: f64| Class {
         name: name.to_owned(),
         aim: Duration::from_millis(500),
@@ -44,11 +43,11 @@
     classes
 }
 
-/// The settings, as the platform gives them.
-pub fn settings(scenario: &Scenario, me: usize) -> Value {
-    let classes = classes(scenario);
+/// The settings of broker `me` in the platform's format.
+pub fn broker_settings(scenario: &Scenario, me: usize) -> Value {
+    let classes = query_classes(scenario);
     let each = |value: f64| vec![value; classes.len()];
-    let least: Vec<f64> = classes.iter().map(|class| class.min_share).collect();
+    let min_shares: Vec<f64> = classes.iter().map(|class| class.min_share).collect();
     let profiles: Vec<Value> = classes
         .iter()
         .zip(CREDITS)
@@ -63,8 +62,8 @@
         "locality": zone_of(me, scenario.zones), "zones": zones, "clients": {"marksRetry": true},
         "registryMode": if scenario.on_request { "on_request" } else { "pushed" }, "profiles": profiles,
         "extra": {"batch": 1, "callNs": 0, "followUp": vec![0; classes.len()],
-            "incompleteWorth": INCOMPLETE_WORTH[..classes.len()], "leastShare": least, "needByClass": each(1.0), "sets": scenario.cells,
-            "slices": blocks(scenario), "width": scenario.width},
+            "incompleteWorth": INCOMPLETE_WORTH[..classes.len()], "leastShare": min_shares, "needByClass": each(1.0), "sets": scenario.cells,
+            "slices": block_count(scenario), "width": scenario.width},
         "limits": {"cancel": true, "maxAttempts": 4, "maxOpen": 4000, "maxRetryAfterNs": 2_000_000_000_u64,
             "maxStreams": 100, "mayProbe": false, "retryAfter": true, "secondCopies": false, "peers": true},
         "prices": {"handshake": 0.001, "peer": 0.01},
@@ -72,23 +71,23 @@
             "fallMultiple": scenario.tile.fall_multiple, "overloadForNs": 1_000_000_000}})
 }
 
-/// Tile blocks that there are.
-pub fn blocks(scenario: &Scenario) -> u32 {
+/// The number of tile blocks (shards).
+pub fn block_count(scenario: &Scenario) -> u32 {
     scenario.cells as u32 * 4
 }
 
-/// A server as it stands in lists.
-pub fn placed(scenario: &Scenario, server: usize, cell: usize, up: bool) -> Placed {
+/// A server's entry for the stand-ins, which discovery lists show.
+pub fn server_config(scenario: &Scenario, server: usize, cell: usize, up: bool) -> Placed {
     let (name, zone) = (format!("t{server:03}"), format!("z{}", zone_of(server, scenario.zones)));
     Placed { name, zone, cell: cell as u32, up }
 }
 
-/// What the stand-ins are told of the fleet.
-pub fn setting(scenario: &Scenario, options: &Options, schedule: &Schedule) -> Setting {
+/// The configuration of the stand-ins.
+pub fn world_config(scenario: &Scenario, options: &Options, schedule: &Schedule) -> Setting {
     let first = (0..scenario.servers).map(|server| (server, server % scenario.cells, true));
     let later = schedule.later.iter().enumerate();
     let later = later.map(|(n, cell)| (scenario.servers + n, *cell, false));
-    let placed = first.chain(later).map(|(server, cell, up)| placed(scenario, server, cell, up));
+    let placed = first.chain(later).map(|(server, cell, up)| server_config(scenario, server, cell, up));
     Setting {
         figures: Figures {
             workers: scenario.tile.workers,
--- a/crates/fleet/src/run/upgrade.rs
+++ b/crates/fleet/src/run/upgrade.rs
@@ -1,4 +1,4 @@
-//! Upgrades: a second process of a broker is started beside the running one, and takes over once it is ready.
+//! Upgrades: a successor process of a broker is started beside the running one, and replaces it once it is ready.
 
 use std::io;
 use std::time::Duration;
@@ -6,37 +6,37 @@
 use badgergauge_standin::ledger::{Breach, Rule};
 use rustix::process::Signal;
 
-use super::settings::classes;
-use super::{ASK_AGAIN, Due, Fleet};
+use super::settings::query_classes;
+use super::{Fleet, POLL_INTERVAL, Task};
 use crate::control;
 use crate::process::Process;
 use crate::record::Upgrade;
 use crate::scenario::Scenario;
 
-/// The old process has at the least so long after SIGTERM, and `KILL_MARGIN` more.
-const SHORTEST_END: Duration = Duration::from_secs(3);
-/// See `SHORTEST_END`.
+/// The predecessor has at least this time to exit after SIGTERM, plus [`KILL_MARGIN`].
+const MIN_STOP_GRACE: Duration = Duration::from_secs(3);
+/// Added to the time that a process has to exit before it is killed.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// A process that is to take over.
-pub struct Next {
+/// A process that replaces the current one once it is ready.
+pub struct Successor {
     process: Process,
     run: u32,
     control: usize,
     began: Duration,
 }
 
-/// A process that was taken over from.
-pub struct Old {
+/// A process that has been replaced and sent SIGTERM.
+pub struct Predecessor {
     process: Process,
     run: u32,
-    /// Its processor time when it was last looked at.
+    /// Its processor time at the last sample, in seconds.
     pub cpu: f64,
     killed: bool,
 }
 
-impl Old {
-    /// Reads its processor time.
+impl Predecessor {
+    /// Samples its processor time.
     pub fn sample(&mut self) {
         if let Some(used) = self.process.resource_usage() {
             self.cpu = used.cpu_seconds;
@@ -44,119 +44,119 @@
     }
 }
 
-/// After SIGTERM the old process has so long: the longest deadline, or [`SHORTEST_END`] where that is longer, and a
-/// margin.
-pub(super) fn kill_after(scenario: &Scenario) -> Duration {
-    let longest = classes(scenario).iter().map(|class| class.deadline).max().unwrap_or_default();
-    longest.max(SHORTEST_END) + KILL_MARGIN
+/// How long a process may take to exit after SIGTERM: the longest deadline of a class, but at least
+/// [`MIN_STOP_GRACE`], plus [`KILL_MARGIN`].
+pub(super) fn stop_grace(scenario: &Scenario) -> Duration {
+    let longest = query_classes(scenario).iter().map(|class| class.deadline).max().unwrap_or_default();
+    longest.max(MIN_STOP_GRACE) + KILL_MARGIN
 }
 
 impl Fleet<'_> {
-    /// Begins an upgrade.
+    /// Starts an upgrade.
     pub(super) fn upgrade(&mut self, broker: usize) -> io::Result<()> {
         let state = &self.brokers[broker];
-        if state.process.is_none() || state.next.is_some() || state.old.is_some() {
-            let what = format!("b{broker} can't be upgraded: it is down, or its last upgrade is not over");
-            self.break_rule(Rule::NotReady, what);
+        if state.process.is_none() || state.successor.is_some() || state.predecessor.is_some() {
+            let what = format!("b{broker} can't be upgraded: it is down, or its last upgrade has not ended");
+            self.record_violation(Rule::NotReady, what);
             return Ok(());
         }
         if let Some(gap) = self.options.upgrade_gap {
-            // Dropping it kills it.
+            // Dropping the process kills it.
             self.brokers[broker].process = None;
-            self.arm(self.now() + gap, Due::StartNext(broker));
+            self.schedule(self.now() + gap, Task::StartSuccessor(broker));
             return Ok(());
         }
-        self.start_next(broker)
+        self.start_successor(broker)
     }
 
-    /// Starts the process that is to take over.
-    pub(super) fn start_next(&mut self, broker: usize) -> io::Result<()> {
+    /// Starts the successor process.
+    pub(super) fn start_successor(&mut self, broker: usize) -> io::Result<()> {
         let state = &self.brokers[broker];
         let (run, control) = (state.starts + 1, 1 - state.control);
         let began = self.now();
         let process = self.spawn(broker, run, control)?;
         let old_run = self.brokers[broker].run;
-        self.brokers[broker].next = Some(Next { process, run, control, began });
+        self.brokers[broker].successor = Some(Successor { process, run, control, began });
         self.gathered.upgrades.push(Upgrade { broker, began, old_run, run, ..Upgrade::default() });
-        self.arm(began + ASK_AGAIN, Due::AskReady(broker));
+        self.schedule(began + POLL_INTERVAL, Task::CheckReady(broker));
         Ok(())
     }
 
-    /// Asks the process that is to take over whether it is ready, until it is or its time is over.
-    pub(super) fn ask_ready(&mut self, broker: usize) {
-        let Some(next) = &self.brokers[broker].next else { return };
+    /// Polls the successor until it is ready or the ready timeout has passed.
+    pub(super) fn check_ready(&mut self, broker: usize) {
+        let Some(next) = &self.brokers[broker].successor else { return };
         let (began, run) = (next.began, next.run);
         let ready = control::is_ready(self.ports[broker].control[next.control].address());
         let now = self.now();
         if now.saturating_sub(began) > self.options.ready_timeout {
-            // Dropping it ends it; the old one serves on.
-            self.brokers[broker].next = None;
-            let what = format!("b{broker} run {run} was not ready in {:?}", self.options.ready_timeout);
-            self.break_rule(Rule::NotReady, what);
+            // Dropping the successor kills it; the current process continues to serve.
+            self.brokers[broker].successor = None;
+            let what = format!("b{broker} run {run} was not ready within {:?}", self.options.ready_timeout);
+            self.record_violation(Rule::NotReady, what);
         } else if ready {
             self.take_over(broker, now);
         } else {
-            self.arm(now + ASK_AGAIN, Due::AskReady(broker));
+            self.schedule(now + POLL_INTERVAL, Task::CheckReady(broker));
         }
     }
 
-    /// The new process is the broker from now on, and the old one is told to end.
+    /// Makes the successor the broker's current process, and sends SIGTERM to the one that it replaces.
     fn take_over(&mut self, broker: usize, now: Duration) {
         let state = &mut self.brokers[broker];
-        let Some(next) = state.next.take() else { return };
+        let Some(next) = state.successor.take() else { return };
         let (old_run, run) = (state.run, next.run);
         let old = state.process.replace(next.process);
-        (state.run, state.control, state.ends) = (run, next.control, false);
-        let old_cpu = std::mem::take(&mut state.cpu[1]);
+        (state.run, state.control, state.stopping) = (run, next.control, false);
+        let old_cpu = std::mem::take(&mut state.running_cpu);
         if let Some(process) = old {
             process.signal(Signal::TERM);
-            state.old = Some(Old { process, run: old_run, cpu: old_cpu, killed: false });
-            self.arm(now + kill_after(self.scenario), Due::KillOld(broker, old_run));
+            state.predecessor = Some(Predecessor { process, run: old_run, cpu: old_cpu, killed: false });
+            self.schedule(now + stop_grace(self.scenario), Task::KillPredecessor(broker, old_run));
         }
-        self.note_upgrade(broker, run, |upgrade| upgrade.ready = Some(now));
+        self.update_upgrade(broker, run, |upgrade| upgrade.ready = Some(now));
     }
 
-    /// Kills the process that was taken over from, if it has not ended.
-    pub(super) fn kill_old(&mut self, broker: usize, run: u32) {
-        if let Some(old) = self.brokers[broker].old.as_mut().filter(|old| old.run == run) {
+    /// Kills the predecessor, if it is the given run and has not exited.
+    pub(super) fn kill_predecessor(&mut self, broker: usize, run: u32) {
+        if let Some(old) = self.brokers[broker].predecessor.as_mut().filter(|old| old.run == run) {
             old.killed = true;
             old.process.signal(Signal::KILL);
         }
     }
 
-    /// A process that is not the current one has ended: the one that was taken over from, or one that was to take
-    /// over.
-    pub(super) fn ended_in_upgrade(&mut self, broker: usize, run: u32) -> io::Result<()> {
+    /// Handles the exit of a process that is not the current one: the predecessor, or a successor that was not ready.
+    pub(super) fn upgrade_process_ended(&mut self, broker: usize, run: u32) -> io::Result<()> {
         let (now, state) = (self.now(), &mut self.brokers[broker]);
-        if let Some(mut old) = state.old.take_if(|old| old.run == run) {
+        if let Some(mut old) = state.predecessor.take_if(|old| old.run == run) {
             let status = old.process.wait()?;
-            state.cpu[0] += old.cpu;
+            state.ended_cpu += old.cpu;
             let current = state.run;
-            self.note_upgrade(broker, current, |upgrade| {
+            self.update_upgrade(broker, current, |upgrade| {
                 (upgrade.old_ended, upgrade.killed) = (Some(now), old.killed);
             });
             if !old.killed && !status.success() {
                 self.gathered
                     .crashed
-                    .push((now, format!("b{broker} run {run} ended after SIGTERM: {status}")));
+                    .push((now, format!("b{broker} run {run} exited after SIGTERM with {status}")));
             }
-        } else if let Some(mut next) = state.next.take_if(|next| next.run == run) {
+        } else if let Some(mut next) = state.successor.take_if(|next| next.run == run) {
             let status = next.process.wait()?;
-            let what = format!("b{broker} run {run} ended before it took over: {status}");
-            self.break_rule(Rule::NotReady, what);
+            let what = format!("b{broker} run {run} exited before it took over: {status}");
+            self.record_violation(Rule::NotReady, what);
         }
         Ok(())
     }
 
-    fn note_upgrade(&mut self, broker: usize, run: u32, note: impl FnOnce(&mut Upgrade)) {
+    /// Updates the record of the upgrade to the given run.
+    fn update_upgrade(&mut self, broker: usize, run: u32, update: impl FnOnce(&mut Upgrade)) {
         let mut upgrades = self.gathered.upgrades.iter_mut();
         if let Some(upgrade) = upgrades.find(|upgrade| upgrade.broker == broker && upgrade.run == run) {
-            note(upgrade);
+            update(upgrade);
         }
     }
 
-    /// Notes a rule that the harness itself saw broken.
-    pub(super) fn break_rule(&mut self, rule: Rule, what: String) {
+    /// Records a violation of a rule that the harness itself has observed.
+    pub(super) fn record_violation(&mut self, rule: Rule, what: String) {
         let at = self.now();
         self.gathered.broken.push(Breach { at, rule, what });
     }
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -447,7 +447,11 @@
     let _ = std::fs::remove_file(&program);
     let crashed: Vec<&str> =
         record.broken.iter().filter(|b| b.rule == "Crashed").map(|b| b.what.as_str()).collect();
-    assert!(matches!(crashed[..], [what] if what.starts_with("b1 ended by itself")), "{:?}", record.broken);
+    assert!(
+        matches!(crashed[..], [what] if what.starts_with("b1 exited unexpectedly")),
+        "{:?}",
+        record.broken
+    );
     let last = record.rows.iter().filter(|row| row.second == 4).map(Row::share).fold(1.0, f64::min);
     assert!(last > 0.95, "{last} served two seconds after the crash");
 }
@@ -466,7 +470,7 @@
     assert_eq!(record.used.iter().map(|used| used.starts).collect::<Vec<_>>(), [2, 2]);
     let scenario = Scenario::read(Path::new("pair"), PAIR).expect("sound");
     for (name, text, said) in
-        [("dies", "exit 1", "ended by itself"), ("hangs", "exec sleep 1000", "was not up")]
+        [("dies", "exit 1", "exited unexpectedly"), ("hangs", "exec sleep 1000", "was not up")]
     {
         let program = script(name, text);
         let dir = std::env::temp_dir().join(format!("badgergauge-fleet-{}-{name}", std::process::id()));
