--- a/crates/fleet/src/control.rs
+++ b/crates/fleet/src/control.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 calls to a broker, one per connection: its readiness on the client port, and its control endpoint.
+//! HTTP/1.1 calls to a broker, one per connection: its readiness on the client port, and its control
+//! endpoint.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -1,8 +1,8 @@
-//! Open-loop load generator in one thread: each query is due at a drawn time, and its response time counts from then,
-//! however late it could be sent. The clients reach brokers through a simulated front (load balancer) that knows which
-//! brokers are in service, retry as refusals tell them to, and check every value that they receive. Where connections
-//! are pooled, an idle connection carries the next request even after the front has removed its broker, since clients
-//! do not see the front's state.
+//! Open-loop load generator in one thread: each query is due at a drawn time, and its response time counts
+//! from then, however late it could be sent. The clients reach brokers through a simulated front (load
+//! balancer) that knows which brokers are in service, retry as refusals tell them to, and check every value
+//! that they receive. Where connections are pooled, an idle connection carries the next request even after
+//! the front has removed its broker, since clients do not see the front's state.
 
 mod answer;
 
@@ -152,8 +152,8 @@
     pub unanswered: Vec<Unanswered>,
     /// Requests that brokers refused or did not accept, including those that were retried.
     pub refused: Vec<Refusal>,
-    /// Wrong answers: with a value that no server produced, or with a false claim to be complete. Each with the time
-    /// and a description.
+    /// Wrong answers: with a value that no server produced, or with a false claim to be complete. Each with
+    /// the time and a description.
     pub wrong: Vec<(Duration, String)>,
     /// The longest delay between the time at which a query was due and the time at which it was sent.
     pub lateness: Duration,
@@ -198,7 +198,8 @@
         self.waker.wake();
     }
 
-    /// How clients use their connections to a broker; none once they have finished, or if they do not reply within 1 s.
+    /// How clients use their connections to a broker; none once they have finished, or if they do not reply
+    /// within 1 s.
     pub fn connection_usage(&self, broker: usize) -> Option<ConnectionUsage> {
         let (sender, receiver) = mpsc::channel();
         self.send(ClientCommand::ConnectionUsage(broker, sender));
@@ -470,8 +471,8 @@
         self.start_attempt(query);
     }
 
-    /// Chooses a broker for a query: one that the front has in service, or to which a pooled connection is idle. Brokers
-    /// that have not accepted the query come last.
+    /// Chooses a broker for a query: one that the front has in service, or to which a pooled connection is
+    /// idle. Brokers that have not accepted the query come last.
     fn choose_broker(&mut self, query: &Query) -> Option<usize> {
         let available: Vec<usize> =
             (0..self.front.len()).filter(|b| self.front[*b].is_some() || self.pool.has_idle(*b)).collect();
@@ -487,7 +488,8 @@
         chosen.or(from.last()).copied()
     }
 
-    /// A connection for a request, registered with the poller under the key: an idle pooled one, or else a new one.
+    /// A connection for a request, registered with the poller under the key: an idle pooled one, or else a
+    /// new one.
     fn connection(&mut self, broker: usize, key: usize) -> io::Result<TcpStream> {
         if let Some(stream) = self.pool.take(&self.poll, broker) {
             return match self.poll.rearm(&stream, key, true, true) {
@@ -576,8 +578,8 @@
         }
     }
 
-    /// Handles a connection that was not accepted: the client retries at once at another broker, or in 100 ms where no
-    /// broker is in service.
+    /// Handles a connection that was not accepted: the client retries at once at another broker, or in 100 ms
+    /// where no broker is in service.
     fn not_accepted(&mut self, mut query: Query, broker: Option<usize>) {
         self.outcome_counts(&query).not_taken += 1;
         let now = self.base.elapsed();
@@ -585,7 +587,8 @@
         self.results.refused.extend(refusal);
         let again = if broker.is_some() { now } else { now + Duration::from_millis(100) };
         query.not_accepted_by.extend(broker);
-        // While no broker is in service, clients retry until their deadline; such retries do not count as tries.
+        // While no broker is in service, clients retry until their deadline; such retries do not count as
+        // tries.
         if again < query.deadline_at && (broker.is_none() || query.tries < MAX_TRIES) {
             query.tries -= u32::from(broker.is_none());
             self.set_timer(again, Timer::Retry(Box::new(query)));
--- a/crates/fleet/src/load/answer.rs
+++ b/crates/fleet/src/load/answer.rs
@@ -24,8 +24,8 @@
 ///
 /// # Errors
 ///
-/// A description of the problem, when the answer holds a value that no server produced for the query, makes a false
-/// claim to be complete, or holds a smaller share of the parts than its class allows.
+/// A description of the problem, when the answer holds a value that no server produced for the query, makes a
+/// false claim to be complete, or holds a smaller share of the parts than its class allows.
 pub(super) fn check_answer(query: &Query, body: &[u8], min_share: f64) -> Result<bool, String> {
     let body: serde_json::Value = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     let full = body["full"].as_bool().ok_or("`full` is missing")?;
--- a/crates/fleet/src/pool.rs
+++ b/crates/fleet/src/pool.rs
@@ -1,4 +1,5 @@
-//! The pool of connections that clients keep open after a response, for their next request to the same broker.
+//! The pool of connections that clients keep open after a response, for their next request to the same
+//! broker.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -38,16 +39,16 @@
         }
     }
 
-    /// Takes the connection to a broker that has been idle longest, so that all of them are reused. Connections that
-    /// the broker has closed meanwhile are removed.
+    /// Takes the connection to a broker that has been idle longest, so that all of them are reused.
+    /// Connections that the broker has closed meanwhile are removed.
     pub fn take(&mut self, poll: &Poll, broker: usize) -> Option<TcpStream> {
         self.remove_closed(poll);
         let key = *self.idle.iter().find(|(_, idle)| idle.broker == broker)?.0;
         self.idle.remove(&key).map(|idle| idle.stream)
     }
 
-    /// Handles a key that the poller reported: removes its connection if it is an idle one, since the only event that
-    /// an idle connection may have is its end. Returns whether it was one.
+    /// Handles a key that the poller reported: removes its connection if it is an idle one, since the only
+    /// event that an idle connection may have is its end. Returns whether it was one.
     pub fn remove_reported(&mut self, poll: &Poll, key: usize) -> bool {
         let idle = self.idle.remove(&key);
         if let Some(idle) = &idle {
--- a/crates/fleet/src/port.rs
+++ b/crates/fleet/src/port.rs
@@ -34,8 +34,9 @@
     }
 }
 
-/// Stops a listener at once by shutting it down. Closing alone is not enough while another process is being started: the
-/// forked child's copy of the descriptor keeps the listener open until the child executes its program.
+/// Stops a listener at once by shutting it down. Closing alone is not enough while another process is being
+/// started: the forked child's copy of the descriptor keeps the listener open until the child executes its
+/// program.
 pub fn shut_down_listener(listener: TcpListener) {
     // Shutting down fails only on a socket that no longer listens.
     let _ = SockRef::from(&listener).shutdown(Shutdown::Both);
--- a/crates/fleet/src/process.rs
+++ b/crates/fleet/src/process.rs
@@ -1,5 +1,5 @@
-//! A broker process: started from the built program, observed through its log lines, signalled and killed by its id.
-//! Dropping a [`Process`] kills it, also while the owner unwinds from a panic.
+//! A broker process: started from the built program, observed through its log lines, signalled and killed by
+//! its id. Dropping a [`Process`] kills it, also while the owner unwinds from a panic.
 
 use std::fs::{self, File};
 use std::io::{self, BufRead, BufReader, Write};
@@ -49,8 +49,8 @@
 }
 
 impl Process {
-    /// Starts a command. A thread reads its standard error line by line, appends the lines to the file `log` and sends
-    /// what they show to `events`.
+    /// Starts a command. A thread reads its standard error line by line, appends the lines to the file `log`
+    /// and sends what they show to `events`.
     ///
     /// # Errors
     ///
@@ -112,7 +112,8 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // SIGKILL, since a process stopped by SIGSTOP does not handle SIGTERM, and no client waits for its queries.
+        // SIGKILL, since a process stopped by SIGSTOP does not handle SIGTERM, and no client waits for its
+        // queries.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -166,7 +167,8 @@
         assert_eq!(parse_stat("77 (a", 100, 4096), None);
     }
 
-    // Guards against processes left behind by a failing test: `Process` kills its child also during unwinding.
+    // Guards against processes left behind by a failing test: `Process` kills its child also during
+    // unwinding.
     #[test]
     fn a_process_is_killed_on_drop_also_during_a_panic() {
         let log = std::env::temp_dir().join(format!("badgergauge-fleet-guard-{}", std::process::id()));
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -1,5 +1,5 @@
-//! Runs a scenario: starts the stand-ins, the fault proxy, the brokers and the clients, applies the schedule of faults,
-//! and writes the record.
+//! Runs a scenario: starts the stand-ins, the fault proxy, the brokers and the clients, applies the schedule
+//! of faults, and writes the record.
 
 mod drain;
 mod idle_clients;
@@ -45,7 +45,8 @@
 const FRONT_DELAY: Duration = Duration::from_millis(500);
 /// How long after a broker's SIGTERM the front still sends it new clients.
 const FRONT_DELAY_ON_STOP: Duration = Duration::from_millis(300);
-/// How many times in a row a broker that fails to start is started again: another process may have taken its port.
+/// How many times in a row a broker that fails to start is started again: another process may have taken its
+/// port.
 const MAX_START_RETRIES: u32 = 3;
 /// Interval at which a broker that is not up or ready yet is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -63,17 +64,18 @@
     pub dir: PathBuf,
     /// The scenario's name.
     pub name: String,
-    /// Overrides of the brokers' settings: a JSON pointer and a value. For comparisons, and to show that checks fail.
+    /// Overrides of the brokers' settings: a JSON pointer and a value. For comparisons, and to show that
+    /// checks fail.
     pub setting_overrides: Vec<(String, Value)>,
     /// How long the stand-in servers remember an idempotency key; the window in the brokers' settings is 5 s.
     pub idempotency_window: Duration,
     /// Consecutive seconds of full service that count as recovered.
     pub full_service_hold: usize,
-    /// Whether a broker starts with the server list as it was at the run's start, as on the platform; otherwise it
-    /// knows no server until discovery has sent a list.
+    /// Whether a broker starts with the server list as it was at the run's start, as on the platform;
+    /// otherwise it knows no server until discovery has sent a list.
     pub has_initial_list: bool,
-    /// A server's drain that a broker was told of binds that broker across a restart as well, since it has a store;
-    /// on the platform it does not.
+    /// A server's drain that a broker was told of binds that broker across a restart as well, since it has a
+    /// store; on the platform it does not.
     pub drains_persist: bool,
     /// A broker that is not up within this time has failed to start.
     pub start_timeout: Duration,
@@ -213,8 +215,8 @@
 ///
 /// # Errors
 ///
-/// When the harness itself fails: no free port or descriptor, an I/O error in the folder, or a broker that does not
-/// start.
+/// When the harness itself fails: no free port or descriptor, an I/O error in the folder, or a broker that
+/// does not start.
 pub fn run(scenario: &Scenario, options: &Options) -> io::Result<Record> {
     fs::create_dir_all(&options.dir)?;
     write_delay::check(scenario, options)?;
@@ -628,7 +630,8 @@
         fs::canonicalize(path)
     }
 
-    /// Writes a broker's service file with the store and the trace folder, if the run has them, and returns its path.
+    /// Writes a broker's service file with the store and the trace folder, if the run has them, and returns
+    /// its path.
     fn write_service_file(&self, broker: usize) -> io::Result<PathBuf> {
         let path = self.file(broker, "yaml");
         let mut text = "# Settings beyond the platform's.\n".to_owned();
--- a/crates/fleet/src/run/drain.rs
+++ b/crates/fleet/src/run/drain.rs
@@ -15,7 +15,8 @@
 const BACK_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Fleet<'_> {
-    /// Tells a broker to drain. It must report at once that it is not up; the front notices that a little later.
+    /// Tells a broker to drain. It must report at once that it is not up; the front notices that a little
+    /// later.
     pub(super) fn start_drain(&mut self, broker: usize) {
         if !control::start_drain(self.control(broker)) {
             self.record_violation(
--- a/crates/fleet/src/run/idle_clients.rs
+++ b/crates/fleet/src/run/idle_clients.rs
@@ -3,7 +3,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A broker whose listen backlog is full leaves a connection attempt unanswered, and those after it would wait as well.
+/// A broker whose listen backlog is full leaves a connection attempt unanswered, and those after it would
+/// wait as well.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Opens up to `clients` connections, and stops at the first one that is not accepted in time.
--- a/crates/fleet/src/run/settings.rs
+++ b/crates/fleet/src/run/settings.rs
@@ -1,4 +1,5 @@
-//! What a run configures: the brokers' platform settings, the stand-ins, and the classes of the clients' queries.
+//! What a run configures: the brokers' platform settings, the stand-ins, and the classes of the clients'
+//! queries.
 
 use std::time::Duration;
 
--- a/crates/fleet/src/run/upgrade.rs
+++ b/crates/fleet/src/run/upgrade.rs
@@ -1,4 +1,5 @@
-//! Upgrades: a successor process of a broker is started beside the running one, and replaces it once it is ready.
+//! Upgrades: a successor process of a broker is started beside the running one, and replaces it once it is
+//! ready.
 
 use std::io;
 use std::time::Duration;
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Handles the exit of a process that is not the current one: the predecessor, or a successor that was not ready.
+    /// Handles the exit of a process that is not the current one: the predecessor, or a successor that was
+    /// not ready.
     pub(super) fn upgrade_process_ended(&mut self, broker: usize, run: u32) -> io::Result<()> {
         let (now, state) = (self.now(), &mut self.brokers[broker]);
         if let Some(mut old) = state.predecessor.take_if(|old| old.run == run) {
--- a/crates/fleet/src/run/write_delay.rs
+++ b/crates/fleet/src/run/write_delay.rs
@@ -1,5 +1,5 @@
-//! Delays brokers immediately before some of their writes, with a library that is preloaded into them: the broker
-//! itself has no hook for it. See the crate `badgergauge-write-delay`.
+//! Delays brokers immediately before some of their writes, with a library that is preloaded into them: the
+//! broker itself has no hook for it. See the crate `badgergauge-write-delay`.
 
 use std::fs;
 use std::io;
@@ -53,8 +53,8 @@
         Ok(())
     }
 
-    /// Sets or clears a broker's write delay. The plan file is replaced by a rename, so that it is never read half
-    /// written.
+    /// Sets or clears a broker's write delay. The plan file is replaced by a rename, so that it is never read
+    /// half written.
     pub(super) fn delay_writes(&self, broker: usize, delay: Option<WriteDelay>) -> io::Result<()> {
         let plan = delay.map(|delay| format!("{} {}", delay.every, delay.by.as_millis()));
         let next = self.file(broker, "delay.next");
--- a/tests/fleet/held_up.rs
+++ b/tests/fleet/held_up.rs
@@ -1,38 +1,41 @@
-//! Brokers that are held up between the reading of their clock and a write, as a busy machine does.
+//! Brokers that are delayed between reading their clock and a write, as happens on a busy machine.
 //!
-//! What was seen: a part that was given up went out again, on another connection, before its server had read that it was
-//! given up. The server then had two attempts of it at work, and an effect may be doubled.
+//! Guards against a second copy of a part: a part was withdrawn and sent again on another connection before
+//! its server had read the withdrawal, so the server had two attempts of it at work, and an effect could be
+//! doubled.
 //!
-//! Why: the loop reads its clock once a turn, and that reading, from before the write, stood for the moment at which a
-//! server was told of a give-up. A part goes out again 50 ms after that moment, which leaves its server time to read. With
-//! 100 ms between the clock and the write, these 50 ms were over as the write was made. The same held where this broker
-//! closed the connection, and for all that was written or closed in the same turn behind the write that was held up.
+//! The event loop reads its clock once per iteration, and that reading, from before the write, was taken as
+//! the time at which the server was told of the withdrawal. A part is sent again 50 ms after that time, which
+//! leaves its server time to read; with 100 ms between the clock and the write, the 50 ms had passed before
+//! the write was made. The same happened where the broker closed the connection, and for everything written
+//! or closed in the same iteration after the delayed write.
 //!
-//! What showed it: with the moment read after the write alone, the six plays below still had 3, 0, 2, 3, 2 and 0 parts out
-//! twice; with the moment read after the close as well they have none, and neither have 60 others (seeds 1 to 23).
+//! With the time read only after the write, the six runs below still had 3, 0, 2, 3, 2 and 0 second copies;
+//! with it read after the close as well, neither they nor 60 other runs (seeds 1 to 23) had any.
 
-use crate::{SPLIT, fleet, rules, sum};
+use crate::{SPLIT, rules, run_fleet, sum};
 
-/// Each broker is held up from the start on; before that, the seed.
+/// Delays every broker's writes from the start on; preceded by the seed.
 const HOLD: &str = "seed: SEED
 events:
   - {at: 0, hold: {share: 1, by_ms: 100, every: 4, for_s: 9}}
 ";
 
-// Each broker is held up for 100 ms right before every fourth write that gives a part up, while servers swallow parts by
-// turns. Servers read their connections up to 30 ms late, or 2 ms; never is a part out twice.
+// Each broker is delayed for 100 ms right before every fourth write that withdraws a part, while servers at
+// times never answer parts. Servers read their connections up to 30 ms or up to 2 ms late; no part ever has
+// two attempts in flight.
 #[test]
-fn a_part_that_is_given_up_late_never_has_two_attempts_out() {
+fn a_part_withdrawn_late_never_has_two_attempts_in_flight() {
     std::thread::scope(|scope| {
         for (lag_ms, seed) in [(30, 1), (30, 2), (30, 3), (2, 1), (2, 2), (2, 3)] {
             scope.spawn(move || {
                 let scenario = SPLIT.replace("events:\n", HOLD);
                 let scenario =
                     scenario.replace("LAG", &lag_ms.to_string()).replace("SEED", &seed.to_string());
-                let record = fleet(&format!("held-up-{lag_ms}-{seed}"), &scenario, |_| {});
+                let record = run_fleet(&format!("held-up-{lag_ms}-{seed}"), &scenario, |_| {});
                 assert_eq!(rules(&record), [""; 0], "lag {lag_ms} ms, seed {seed}: {:?}", record.broken);
                 let lost = sum(&record, |row| row.parts_lost);
-                assert!(lost > 20, "seed {seed}: hardly a part was lost, so hardly one was given up");
+                assert!(lost > 20, "seed {seed}: too few parts were lost, so too few were withdrawn");
             });
         }
     });
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Fleets of the program as processes, with faults between them. Each test asserts figures of the whole fleet, and
-//! shows that they fail where the part that they rest on is taken away.
+//! Runs fleets of broker processes under faults. Each test asserts figures of the whole fleet, and most also
+//! run the fleet without the mechanism under test to show that the check then fails.
 
 mod held_up;
 mod soak;
@@ -12,46 +12,48 @@
 use badgergauge_fleet::scenario::Scenario;
 use serde_json::json;
 
-/// A fleet keeps this many cores busy at its peaks: no more are played side by side, so that none waits for another.
+/// Cores that a fleet keeps busy at its peaks. Limits how many fleets run at the same time, so that none is
+/// starved.
 const CORES_PER_FLEET: usize = 2;
 
-/// Fleets that are being played.
-static PLAYING: Mutex<usize> = Mutex::new(0);
-static PLAYED: Condvar = Condvar::new();
+/// Number of fleets that are running.
+static RUNNING: Mutex<usize> = Mutex::new(0);
+/// Signalled when a fleet has finished.
+static FINISHED: Condvar = Condvar::new();
 
-/// A place for one fleet beside the others.
-struct Place;
+/// Permit to run one fleet, released on drop.
+struct FleetPermit;
 
-impl Place {
-    /// Waits for a place.
-    fn take() -> Self {
+impl FleetPermit {
+    /// Waits until fewer fleets run than the cores allow.
+    fn acquire() -> Self {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
-        let most = (cores / CORES_PER_FLEET).max(1);
-        let playing = PLAYING.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut playing =
-            PLAYED.wait_while(playing, |playing| *playing >= most).unwrap_or_else(PoisonError::into_inner);
-        *playing += 1;
-        Place
+        let limit = (cores / CORES_PER_FLEET).max(1);
+        let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut running =
+            FINISHED.wait_while(running, |running| *running >= limit).unwrap_or_else(PoisonError::into_inner);
+        *running += 1;
+        FleetPermit
     }
 }
 
-impl Drop for Place {
+impl Drop for FleetPermit {
     fn drop(&mut self) {
-        *PLAYING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        PLAYED.notify_one();
+        *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        FINISHED.notify_one();
     }
 }
 
-/// Plays a fleet.
-fn fleet(name: &str, scenario: &str, change: impl FnOnce(&mut Options)) -> Record {
+/// Runs a fleet through a scenario and returns its record.
+fn run_fleet(name: &str, scenario: &str, change: impl FnOnce(&mut Options)) -> Record {
     let dir = std::env::temp_dir().join(format!("badgergauge-fleet-{}-{name}", std::process::id()));
     let mut options = Options::new(Path::new(env!("CARGO_BIN_EXE_badgergauge")), &dir, name);
-    let _place = Place::take();
-    // A run of a few seconds has few to hold it for.
+    let _permit = FleetPermit::acquire();
+    // A run of a few seconds is too short for the default of 10 s.
     options.full_service_hold = 3;
     change(&mut options);
     let scenario = Scenario::read(Path::new(name), scenario).expect("sound");
-    let record = run::run(&scenario, &options).expect("the harness does its part");
+    let record = run::run(&scenario, &options).expect("the harness works");
     let _ = std::fs::remove_dir_all(&dir);
     record
 }
@@ -84,24 +86,25 @@
   - {at: 3, kill: {share: 0.7, back_s: 0.3}}
 ";
 
-// Six of eight brokers are killed at once while discovery turns callers away. The list that they start on, stale as
-// it is, brings the fleet back within 3 s; without it, it is not back before discovery is.
+// Six of eight brokers are killed at once while discovery rejects calls. With the (stale) server list that
+// brokers start with, the fleet is back in full service within 3 s; without it, only once discovery answers
+// again.
 #[test]
-fn a_herd_of_restarted_brokers_is_back_before_discovery_is() {
-    let record = fleet("herd", HERD, |_| {});
+fn a_fleet_recovers_from_a_mass_restart_without_discovery() {
+    let record = run_fleet("herd", HERD, |_| {});
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
     assert!(record.full_service_s.is_some_and(|took| took <= 3.0), "{:?} s", record.full_service_s);
-    // Each broker that waits for the list asks at most thrice in its first second, and seldomer from then on.
+    // A broker that waits for the list makes at most three calls in its first second, and fewer from then on.
     let calls = most(&record, |row| row.list_calls);
     assert!((6..=3 * 8).contains(&calls), "{calls} calls for the list in a second");
-    // A server has each broker connect again, and some once more as connections stand idle: not many times each.
+    // Each broker reconnects to a server once, and some reconnect again after closing an idle connection.
     let hands = most(&record, |row| row.handshakes_most);
     assert!(hands <= 8 * 6, "{hands} handshakes at one server in a second");
-    let blind = fleet("blind", HERD, |options| options.has_initial_list = false);
+    let without_list = run_fleet("blind", HERD, |options| options.has_initial_list = false);
     assert!(
-        blind.full_service_s.is_none_or(|took| took > 3.0),
+        without_list.full_service_s.is_none_or(|took| took > 3.0),
         "{:?} s without a list",
-        blind.full_service_s
+        without_list.full_service_s
     );
 }
 
@@ -119,11 +122,11 @@
   - {at: 8, reload: {}}
 ";
 
-// All brokers are restarted in turn while half of the servers are replaced: nobody is left without an answer, as
-// they finish what they took. Killed in place of that, they leave some.
+// All brokers are restarted in turn while half of the servers are replaced. No query is lost, since a broker
+// finishes the queries that it has accepted. If the brokers are killed instead, some queries are lost.
 #[test]
-fn a_roll_of_all_brokers_over_half_the_servers_replaced_loses_nothing() {
-    let record = fleet("roll", ROLL, |_| {});
+fn a_rolling_restart_while_servers_are_replaced_loses_no_query() {
+    let record = run_fleet("roll", ROLL, |_| {});
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
     assert_eq!(sum(&record, |row| row.lost), 0);
     let (served, offered) = (sum(&record, |row| row.in_time), sum(&record, |row| row.offered));
@@ -133,11 +136,12 @@
         "cold servers under {} of their limit",
         strain(&record)
     );
-    // Twice the queries, each for longer: a dozen are open when their broker is killed, on the mean.
+    // Twice the rate and longer service times: on average a dozen queries are open when their broker is
+    // killed.
     let busy =
         ROLL.replace("rate: 15", "rate: 30").replace("cold_s: 4", "cold_s: 4, service_ms: 40, workers: 16");
-    let killed = fleet("killed", &busy, |options| options.kill_on_roll = true);
-    assert!(sum(&killed, |row| row.lost) > 0, "brokers that are killed lose nothing: the test shows nothing");
+    let killed = run_fleet("killed", &busy, |options| options.kill_on_roll = true);
+    assert!(sum(&killed, |row| row.lost) > 0, "killed brokers lost no query: the test proves nothing");
 }
 
 const SPLIT: &str = "
@@ -158,18 +162,20 @@
   - {at: 6.5, network: {reset: 0.01, for_s: 1}}
 ";
 
-// A zone is cut off while half of the servers swallow parts by turns, connections are reset under requests, and servers
-// read their connections up to 30 ms late. Parts that are given up go out again, and no server ever has two of one:
-// the 50 ms that the protocol gives are waited for, of which the rest is left to a busy machine. Where servers read later than that, there are some.
+// A zone is cut off, half of the servers at times never answer parts, connections are reset under requests,
+// and servers read their connections up to 30 ms late. Parts that are withdrawn are sent again, and no two
+// attempts of a part are ever in flight: brokers wait the 50 ms that the protocol gives a server to read the
+// withdrawal. The 20 ms beyond the read lag allow for a busy machine. With servers that read up to 400 ms
+// late, second copies occur.
 #[test]
-fn a_split_fleet_repeats_parts_and_never_has_two_of_one_out() {
-    let record = fleet("split", &SPLIT.replace("LAG", "30"), |_| {});
+fn a_partitioned_fleet_retries_parts_without_second_copies() {
+    let record = run_fleet("split", &SPLIT.replace("LAG", "30"), |_| {});
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
-    // Not one of many repeats is a second copy, and they are no storm either.
+    // None of the many retries is a second copy, and they do not grow into a retry storm.
     let parts = sum(&record, |row| row.parts);
-    assert!(sum(&record, |row| row.parts_lost) > 20, "hardly a part was lost: the test shows nothing");
+    assert!(sum(&record, |row| row.parts_lost) > 20, "too few parts were lost: the test proves nothing");
     assert!(record.attempts_per_part < 1.5, "{} attempts a part, {parts} parts", record.attempts_per_part);
-    let late = fleet("late", &SPLIT.replace("LAG", "400"), |_| {});
+    let late = run_fleet("late", &SPLIT.replace("LAG", "400"), |_| {});
     assert!(rules(&late).contains(&"SecondCopy"), "{:?}", rules(&late));
 }
 
@@ -186,14 +192,14 @@
   - {at: 2, lose_zone: {zone: 1, for_s: 1.5}}
 ";
 
-// A zone's servers come back cold, to a fleet that asks more of them than they can do. All brokers together stay
-// under what makes one fall; where brokers take a cold server for a warm one, it falls.
+// A zone's servers come back cold to a fleet with more load than they can serve. The brokers' joint load on a
+// cold server stays below the limit at which it fails; if brokers treat cold servers as warm, a server fails.
 #[test]
-fn a_zone_that_comes_back_cold_is_spared_by_all_brokers_together() {
-    let record = fleet("zone", ZONE, |_| {});
+fn brokers_jointly_limit_the_load_on_a_zone_that_comes_back_cold() {
+    let record = run_fleet("zone", ZONE, |_| {});
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
     assert!(strain(&record) > 0.1 && strain(&record) < 1.0, "{} of the joint limit", strain(&record));
-    let unaware = fleet("unaware", ZONE, |options| {
+    let unaware = run_fleet("unaware", ZONE, |options| {
         options.setting_overrides = vec![("/safety/coldNs".into(), json!(1))]
     });
     assert!(
@@ -216,14 +222,16 @@
   - {at: 1, network: {reset: 0.05, for_s: 4}}
 ";
 
-// Connections are reset under requests and answers: keyed parts run again, inside their window, and no effect is
-// doubled. Servers that forget keys at once show that there were some.
+// Connections are reset under requests and answers. Keyed parts are run again within the idempotency window,
+// and no effect is doubled. Servers that forget keys at once show that there were retries that could double
+// one.
 #[test]
-fn keyed_parts_are_repeated_inside_their_window_alone() {
-    let record = fleet("keyed", KEYED, |_| {});
+fn keyed_parts_are_retried_only_within_the_idempotency_window() {
+    let record = run_fleet("keyed", KEYED, |_| {});
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
-    assert!(record.repeated > 0, "no keyed part was repeated: the test shows nothing");
-    let doubled = fleet("doubled", KEYED, |options| options.idempotency_window = std::time::Duration::ZERO);
+    assert!(record.repeated > 0, "no keyed part was retried: the test proves nothing");
+    let doubled =
+        run_fleet("doubled", KEYED, |options| options.idempotency_window = std::time::Duration::ZERO);
     assert!(rules(&doubled).contains(&"Doubled"), "{:?}, {} repeated", rules(&doubled), doubled.repeated);
 }
 
@@ -242,16 +250,17 @@
   - {at: 2.2, kill: {share: 1, back_s: 0.2}}
 LOST";
 
-// All brokers are killed after half of the servers were told to drain, and come back on a list from before that while
-// discovery turns callers away. What they had stored holds: nothing goes to those servers. Without a store, or with
-// stores that were wiped or cut meanwhile, parts do, as from any broker that starts as new.
+// All brokers are killed after half of the servers began to drain, and restart with a list from before that
+// while discovery rejects calls. The drains in their stores stay in force: no part is sent to those servers.
+// Without a store, or with a store that was wiped or truncated meanwhile, parts are sent to them, as by any
+// newly started broker.
 #[test]
-fn drains_hold_over_a_crash_of_all_brokers_where_they_were_stored() {
-    let play = |name: &str, store: &str, lost: &str| {
+fn stored_drains_survive_a_crash_of_all_brokers() {
+    let run = |name: &str, store: &str, lost: &str| {
         let scenario = DRAINED.replace("STORE", store).replace("LOST", lost);
-        fleet(name, &scenario, |options| options.drains_persist = true)
+        run_fleet(name, &scenario, |options| options.drains_persist = true)
     };
-    let kept = play("kept", "true", "");
+    let kept = run("kept", "true", "");
     assert_eq!(rules(&kept), [""; 0], "{:?}", kept.broken);
     let served =
         |record: &Record| record.rows.iter().filter(|row| row.second == 4).map(Row::share).sum::<f64>();
@@ -261,7 +270,7 @@
         ("wiped", "true", "  - {at: 2.3, wipe_stores: {share: 1}}\n"),
         ("cut", "true", "  - {at: 2.3, cut_stores: {share: 1}}\n"),
     ] {
-        let record = play(name, store, lost);
+        let record = run(name, store, lost);
         assert!(rules(&record).contains(&"Drained"), "{name}: {:?}", rules(&record));
         assert!(rules(&record).iter().all(|rule| *rule == "Drained"), "{name}: {:?}", record.broken);
         assert!(served(&record) > 0.9, "{name}: {} served", served(&record));
@@ -281,15 +290,16 @@
   - {at: 2, kill: {share: 0.4, back_s: 0.2}}
 ";
 
-// Lists come indented and in chunks of 61 bytes to brokers that know no server of old, while half of the servers are
-// replaced and two of five brokers are killed. Taken line by line, no such list is ever read, and no broker is ready.
+// Server lists arrive as indented JSON in chunks of 61 bytes, at brokers without an initial list, while half
+// of the servers are replaced and two of five brokers are killed. A broker that decoded lists line by line
+// would never read one, and would never be ready.
 #[test]
-fn a_fleet_whose_lists_come_indented_and_cut_serves() {
-    let record = fleet("indented", INDENTED, |options| options.has_initial_list = false);
+fn a_fleet_reads_indented_server_lists_in_chunks() {
+    let record = run_fleet("indented", INDENTED, |options| options.has_initial_list = false);
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
     let (served, offered) = (sum(&record, |row| row.in_time), sum(&record, |row| row.offered));
     assert!(served * 100 >= offered * 90, "{served} of {offered} in time");
-    // One call for each start, and one more for each whose agent was not there yet: watches stand.
+    // One call for each start, and one more where the agent was not up yet: watches stay open.
     let calls = sum(&record, |row| row.list_calls);
     assert!(calls <= 4 * 5, "{calls} calls for the list: watches are opened again and again");
 }
@@ -306,15 +316,16 @@
   - {at: 6.5, replace: {share: 0.5, within_s: 0.1}}
 ";
 
-// The agents fall silent, half of the servers drain meanwhile, and the agents are back: from that moment what they
-// have counts as told. The brokers have long given their silent watches up, ask at a pace that meets the agents
-// within the grace, and send those servers nothing more. With a pace for a grace of seconds some parts are late, as
-// they were where a call might stay unanswered for 5 s.
+// The discovery agents stop answering, half of the servers begin to drain meanwhile, and the agents come
+// back: from that moment on their lists are deemed delivered. By then the brokers have given up their
+// unresponsive watches, and their calls are frequent enough to reach the agents within the drain grace, so
+// they send those servers no more parts. With a call interval for a grace of 16 s some parts are sent too
+// late; so they were when a call could stay unanswered for 5 s.
 #[test]
-fn agents_that_are_back_after_a_silence_are_met_within_the_grace() {
-    let record = fleet("silence", SILENCE, |_| {});
+fn brokers_reach_agents_within_the_drain_grace_after_an_outage() {
+    let record = run_fleet("silence", SILENCE, |_| {});
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
-    let slow = fleet("slow", SILENCE, |options| {
+    let slow = run_fleet("slow", SILENCE, |options| {
         options.setting_overrides = vec![("/safety/drainGraceNs".into(), json!(16_000_000_000_u64))];
     });
     assert!(rules(&slow).contains(&"Drained"), "{:?}", rules(&slow));
@@ -335,22 +346,22 @@
   - {at: 2.5, upgrade: {broker: 1}}
 ";
 
-// Two of three brokers are upgraded in turn while the third is drained and taken back: no request is lost or refused,
-// no connection ends under one, and no effect is doubled, whatever the seed. The fleets are small enough to run side
-// by side, and none of the figures hangs on how fast they are.
+// Two of three brokers are upgraded in turn while the third is drained and put back into service. For every
+// seed, no request is lost or refused, no connection is closed under one, and no effect is doubled. The
+// fleets are small enough to run in parallel, and no assertion depends on their speed.
 #[test]
-fn upgrades_and_a_drain_go_unnoticed_whatever_the_seed() {
+fn upgrades_and_a_drain_go_unnoticed_for_every_seed() {
     std::thread::scope(|scope| {
         for seed in 1..=5 {
             scope.spawn(move || {
                 let scenario = SEAMLESS.replace("SEED", &seed.to_string());
-                let record = fleet(&format!("seamless-{seed}"), &scenario, |_| {});
+                let record = run_fleet(&format!("seamless-{seed}"), &scenario, |_| {});
                 assert_eq!(rules(&record), [""; 0], "seed {seed}: {:?}", record.broken);
                 assert_eq!(sum(&record, |row| row.lost), 0, "seed {seed}");
                 let ready = record.upgrades.iter().filter(|upgrade| upgrade.ready_s.is_some()).count();
                 assert_eq!((record.upgrades.len(), ready), (2, 2), "seed {seed}: {:?}", record.upgrades);
                 assert!(record.drains.len() == 1 && record.drains[0].back_s.is_some(), "seed {seed}");
-                assert!(sum(&record, |row| row.in_time) > 100, "seed {seed}: hardly a query was answered");
+                assert!(sum(&record, |row| row.in_time) > 100, "seed {seed}: too few queries were answered");
             });
         }
     });
@@ -379,25 +390,26 @@
   - {at: 0.2, drain: {broker: 1, for_s: 4.1}}
 ";
 
-// The checks find what they are there for: a process that is gone before the next is ready, and brokers without a
-// control endpoint, which are never ready and do not drain.
+// The harness's checks report an upgrade whose predecessor is killed before its successor is ready, and
+// brokers without a control endpoint, which never report readiness and do not drain.
 #[test]
 fn an_upgrade_with_a_gap_and_brokers_that_do_not_drain_break_rules() {
     let replaced = std::thread::spawn(|| {
-        fleet("replaced", REPLACED, |options| {
+        run_fleet("replaced", REPLACED, |options| {
             options.upgrade_gap = Some(std::time::Duration::from_millis(500))
         })
     });
-    // A broker's processes share a folder: where there was one already, the next one hangs.
+    // A broker's processes share `TMPDIR`: every process after the first one finds the folder there, and
+    // hangs.
     let hangs = "mkdir \"$TMPDIR/started\" 2>/dev/null || exec sleep 1000";
     let real = env!("CARGO_BIN_EXE_badgergauge");
     let program = script("uncontrolled", &format!("{hangs}\nunset BALANCER_CONTROL\nexec {real}"));
-    let uncontrolled = fleet("uncontrolled", UNCONTROLLED, |options| {
+    let uncontrolled = run_fleet("uncontrolled", UNCONTROLLED, |options| {
         options.program.clone_from(&program);
         options.ready_timeout = std::time::Duration::from_secs(1);
     });
     let _ = std::fs::remove_file(&program);
-    let replaced = replaced.join().expect("played");
+    let replaced = replaced.join().expect("the fleet has run");
     assert!(rules(&replaced).contains(&"Refused"), "{:?}", rules(&replaced));
     let found = |what: &str| uncontrolled.broken.iter().any(|broken| broken.what.contains(what));
     assert!(found("b0 run 2 was not ready"), "{:?}", uncontrolled.broken);
@@ -418,7 +430,7 @@
 seconds: 1
 ";
 
-/// A program in place of the broker's.
+/// Writes a shell script that runs in place of the broker's program.
 fn script(name: &str, text: &str) -> std::path::PathBuf {
     use std::os::unix::fs::PermissionsExt;
     let path = std::env::temp_dir().join(format!("badgergauge-fleet-{}-{name}.sh", std::process::id()));
@@ -435,15 +447,15 @@
 seconds: 6
 ";
 
-// A broker that crashes in the middle of a run is found, named, and breaks the run's verdict; the front goes on sending
-// to it until it notices, and the others take its clients over.
+// A broker that crashes during a run is recorded by name as a violation. The front sends clients to it until
+// it notices; then the other brokers serve them.
 #[test]
-fn a_broker_that_crashes_in_mid_run_is_named_and_the_others_serve_on() {
+fn a_broker_that_crashes_during_a_run_is_reported_and_the_others_serve() {
     let real = env!("CARGO_BIN_EXE_badgergauge");
-    // It is ended by a process that it started itself, two seconds after its start.
+    // A background process of the script kills it two seconds after its start.
     let crash = "case \"$BALANCER_CONFIG\" in *b1.json) (sleep 2; kill -9 $$) & ;; esac";
     let program = script("crash", &format!("{crash}\nexec {real}"));
-    let record = fleet("crash", CRASH, |options| options.program.clone_from(&program));
+    let record = run_fleet("crash", CRASH, |options| options.program.clone_from(&program));
     let _ = std::fs::remove_file(&program);
     let crashed: Vec<&str> =
         record.broken.iter().filter(|b| b.rule == "Crashed").map(|b| b.what.as_str()).collect();
@@ -456,16 +468,16 @@
     assert!(last > 0.95, "{last} served two seconds after the crash");
 }
 
-// A broker that dies as it starts, as one does whose port was taken meanwhile, is started again, and no run waits
-// for ever for one that never starts or that hangs.
+// A broker that exits while it starts, for instance since its port was taken, is started again. A run fails
+// instead of waiting for ever when a broker exits at every start or hangs.
 #[test]
-fn a_broker_that_dies_or_hangs_as_it_starts_is_started_again_or_ends_the_run() {
+fn a_broker_that_fails_to_start_is_started_again_or_ends_the_run() {
     let real = env!("CARGO_BIN_EXE_badgergauge");
     let once = script(
         "once",
         &format!("if mkdir \"$BALANCER_CONFIG.tried\" 2>/dev/null; then exit 1; fi\nexec {real}"),
     );
-    let record = fleet("once", PAIR, |options| options.program.clone_from(&once));
+    let record = run_fleet("once", PAIR, |options| options.program.clone_from(&once));
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
     assert_eq!(record.used.iter().map(|used| used.starts).collect::<Vec<_>>(), [2, 2]);
     let scenario = Scenario::read(Path::new("pair"), PAIR).expect("sound");
@@ -494,11 +506,11 @@
   - {at: 1, upgrade: {share: 1, every_s: 1}}
 ";
 
-// What was seen: a broker with a store could not be upgraded; the new process ended with exit code 1. Why: one process alone
-// may have a store open, and the new process opened it while the old one ran.
+// Guards against a broker with a store that can't be upgraded: only one process may have a store open, and
+// the successor exited with code 1 since it opened the store while its predecessor was running.
 #[test]
 fn brokers_with_a_store_are_upgraded() {
-    let record = fleet("stored", STORED, |_| {});
+    let record = run_fleet("stored", STORED, |_| {});
     assert_eq!(rules(&record), [""; 0], "{:?}", record.broken);
     assert_eq!(record.upgrades.len(), 3);
     assert!(record.upgrades.iter().all(|upgrade| upgrade.ready_s.is_some()), "{:?}", record.upgrades);
--- a/tests/fleet/soak.rs
+++ b/tests/fleet/soak.rs
@@ -1,28 +1,29 @@
-//! Drawn scenarios, a few fixed seeds: fleets under events that cross each other. `badgergauge fleet soak` plays more.
+//! Randomly drawn scenarios with overlapping events, for a few fixed seeds. `badgergauge fleet soak` runs
+//! more.
 
 use std::path::Path;
 
 use badgergauge_fleet::run::Options;
 use badgergauge_fleet::soak;
 
-use crate::Place;
+use crate::FleetPermit;
 
-/// Plays a seed, which is to break no rule.
-fn keeps_the_rules(seed: u64) {
+/// Runs the scenario of a seed, and asserts that it breaks no rule.
+fn assert_no_violation(seed: u64) {
     let dir = std::env::temp_dir().join(format!("badgergauge-soak-{}-{seed}", std::process::id()));
     let options = Options::new(Path::new(env!("CARGO_BIN_EXE_badgergauge")), &dir, "soak");
-    let place = Place::take();
-    let outcome = soak::play(seed, &options).expect("the harness does its part");
-    drop(place);
+    let permit = FleetPermit::acquire();
+    let outcome = soak::play(seed, &options).expect("the harness works");
+    drop(permit);
     let _ = std::fs::remove_dir_all(&dir);
     let late = outcome.record.lateness_ms;
     assert!(outcome.broken.is_empty(), "{:?}, {late} ms late\n{}", outcome.broken, outcome.drawn.text);
 }
 
-/// A test for each seed.
+/// Defines a test for each seed.
 macro_rules! seeds {
     ($($name:ident: $seed:literal,)*) => {
-        $(#[test] fn $name() { keeps_the_rules($seed); })*
+        $(#[test] fn $name() { assert_no_violation($seed); })*
     };
 }
 
