--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 use badgergauge_poll::{Poll, Ready, Waker, connect};
-use badgergauge_standin::ledger::UNSAFE_QUERY;
+use badgergauge_standin::ledger::UNSAFE_QUERY_PREFIX;
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -515,7 +515,7 @@
         let Some(broker) = self.choose_broker(&query) else { return self.not_accepted(query, None) };
         let class = &self.load.classes[query.class];
         let query_id = match class.retry_safety {
-            RetrySafety::Unsafe => format!("{UNSAFE_QUERY}{}", query.key),
+            RetrySafety::Unsafe => format!("{UNSAFE_QUERY_PREFIX}{}", query.key),
             RetrySafety::Safe | RetrySafety::Keyed => self.queries_sent.to_string(),
         };
         let id = format!("b{broker}-{query_id}-{}-{}", query.tries, self.last_key);
--- a/crates/fleet/src/load/answer.rs
+++ b/crates/fleet/src/load/answer.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-use badgergauge_standin::value;
+use badgergauge_standin::part_value;
 
 use super::Query;
 
@@ -37,7 +37,7 @@
         if !query.shards.contains(&shard) || !shards.insert(shard) {
             return Err(format!("tablet {shard} was not requested, or is repeated"));
         }
-        if piece["cell"].as_str() != Some(&value(shard, query.statement.as_bytes())) {
+        if piece["cell"].as_str() != Some(&part_value(shard, query.statement.as_bytes())) {
             return Err(format!("the value of tablet {shard} was produced by no server"));
         }
     }
@@ -111,7 +111,7 @@
 
     fn body(full: bool, pieces: &[(u32, &str)]) -> String {
         let piece = |(shard, text): &(u32, &str)| {
-            format!("{{\"tablet\":{shard},\"cell\":\"{}\"}}", value(*shard, text.as_bytes()))
+            format!("{{\"tablet\":{shard},\"cell\":\"{}\"}}", part_value(*shard, text.as_bytes()))
         };
         let pieces: Vec<String> = pieces.iter().map(piece).collect();
         format!("{{\"full\":{full},\"pieces\":[{}]}}", pieces.join(","))
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -16,7 +16,7 @@
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
 use std::time::{Duration, Instant};
 
-use badgergauge_standin::world::{Tell as WorldTell, World};
+use badgergauge_standin::world::{World, WorldCommand};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustix::process::Signal;
@@ -236,7 +236,8 @@
         Ok(addresses)
     })?;
     for broker in 0..scenario.brokers {
-        let [one, other] = [builder.tcp(world.discovery(broker))?, builder.tcp(world.discovery(broker))?];
+        let [one, other] =
+            [builder.tcp(world.discovery_address(broker))?, builder.tcp(world.discovery_address(broker))?];
         links.discovery.push([one.0, other.0]);
         links.discovery_addresses.push([one.1, other.1]);
     }
@@ -370,12 +371,12 @@
             times_ms: [ms(0.5), ms(0.99)],
             lateness_ms: seen.lateness.as_secs_f64() * 1e3,
             attempts_per_part: f64::from(parts) / (f64::from(offered.max(1)) * self.scenario.parts as f64),
-            repeated: ledger.repeated,
+            repeated: ledger.reruns_in_window,
             used: self.brokers.iter().map(used).collect(),
             upgrades: record::upgrades(&self.gathered, self.clients_start),
             drains: record::drains(&self.gathered, self.clients_start),
             broken: broken
-                .map(|b| Broken { at: at(b.at), rule: format!("{:?}", b.rule), what: b.what })
+                .map(|b| Broken { at: at(b.at), rule: format!("{:?}", b.rule), what: b.details })
                 .collect(),
             rows,
         };
@@ -500,13 +501,13 @@
                 self.write_config(broker)?;
                 self.signal(broker, Signal::HUP);
             }
-            Act::World(WorldTell::TurnAwayUntil(until)) => {
-                self.world.tell(WorldTell::TurnAwayUntil(until + self.clients_start));
+            Act::World(WorldCommand::RejectCallsUntil(until)) => {
+                self.world.send(WorldCommand::RejectCallsUntil(until + self.clients_start));
             }
-            Act::World(WorldTell::SilentUntil(until)) => {
-                self.world.tell(WorldTell::SilentUntil(until + self.clients_start));
+            Act::World(WorldCommand::StallDiscoveryUntil(until)) => {
+                self.world.send(WorldCommand::StallDiscoveryUntil(until + self.clients_start));
             }
-            Act::World(tell) => self.world.tell(tell),
+            Act::World(command) => self.world.send(command),
             Act::Server(server, up) => {
                 let links = self.links.select(&Links::Servers(vec![server]), self.scenario);
                 self.proxy.tell(if up { ProxyTell::Up(links) } else { ProxyTell::Down(links) });
@@ -619,7 +620,7 @@
         let log = self.file(broker, "log");
         let process = Process::start(command, &log, broker, run, self.event_sender.clone())?;
         self.brokers[broker].starts = run;
-        self.world.tell(WorldTell::BrokerStarts(broker));
+        self.world.send(WorldCommand::BrokerStarted(broker));
         Ok(process)
     }
 
@@ -679,7 +680,7 @@
                 state.ended_cpu += state.running_cpu;
                 state.running_cpu = 0.0;
                 if !self.options.drains_persist {
-                    self.world.tell(WorldTell::BrokerGone(event.broker));
+                    self.world.send(WorldCommand::BrokerStopped(event.broker));
                 }
                 // Another process may have taken one of its ports before it could listen.
                 let failed_to_start = state.starting_since.take().is_some() && !state.stopping;
--- a/crates/fleet/src/run/settings.rs
+++ b/crates/fleet/src/run/settings.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use badgergauge_standin::ledger;
-use badgergauge_standin::model::Figures;
-use badgergauge_standin::world::{Placed, Setting};
+use badgergauge_standin::model::ServerParameters;
+use badgergauge_standin::world::{ServerConfig, WorldConfig};
 use serde_json::{Value, json};
 
 use super::Options;
@@ -68,7 +68,7 @@
         "limits": {"cancel": true, "maxAttempts": 4, "maxOpen": 4000, "maxRetryAfterNs": 2_000_000_000_u64,
             "maxStreams": 100, "mayProbe": false, "retryAfter": true, "secondCopies": false, "peers": true},
         "prices": {"handshake": 0.001, "peer": 0.01},
-        "safety": {"drainGraceNs": ledger::DRAIN.as_nanos() as u64, "coldFrom": scenario.tile.cold_from, "coldNs": scenario.tile.cold_for.as_nanos() as u64,
+        "safety": {"drainGraceNs": ledger::DRAIN_GRACE.as_nanos() as u64, "coldFrom": scenario.tile.cold_from, "coldNs": scenario.tile.cold_for.as_nanos() as u64,
             "fallMultiple": scenario.tile.fall_multiple, "overloadForNs": 1_000_000_000}})
 }
 
@@ -78,34 +78,34 @@
 }
 
 /// A server's entry for the stand-ins, which discovery lists show.
-pub fn server_config(scenario: &Scenario, server: usize, cell: usize, up: bool) -> Placed {
+pub fn server_config(scenario: &Scenario, server: usize, cell: usize, up: bool) -> ServerConfig {
     let (name, zone) = (format!("t{server:03}"), format!("z{}", zone_of(server, scenario.zones)));
-    Placed { name, zone, cell: cell as u32, up }
+    ServerConfig { name, zone, cell: cell as u32, initially_up: up }
 }
 
 /// The configuration of the stand-ins.
-pub fn world_config(scenario: &Scenario, options: &Options, schedule: &Schedule) -> Setting {
+pub fn world_config(scenario: &Scenario, options: &Options, schedule: &Schedule) -> WorldConfig {
     let first = (0..scenario.servers).map(|server| (server, server % scenario.cells, true));
     let later = schedule.later.iter().enumerate();
     let later = later.map(|(n, cell)| (scenario.servers + n, *cell, false));
     let placed = first.chain(later).map(|(server, cell, up)| server_config(scenario, server, cell, up));
-    Setting {
-        figures: Figures {
+    WorldConfig {
+        parameters: ServerParameters {
             workers: scenario.tile.workers,
-            service: scenario.tile.service,
-            queue: scenario.tile.queue,
-            connections: scenario.tile.connections,
+            mean_service_time: scenario.tile.service,
+            queue_limit: scenario.tile.queue,
+            max_connections: scenario.tile.connections,
             cold_from: scenario.tile.cold_from,
-            cold_for: scenario.tile.cold_for,
+            warm_up_time: scenario.tile.cold_for,
             fall_multiple: scenario.tile.fall_multiple,
-            window: Duration::from_secs(1),
-            down_for: Duration::from_secs(1),
+            load_window: Duration::from_secs(1),
+            restart_delay: Duration::from_secs(1),
         },
         servers: placed.collect(),
         brokers: scenario.brokers,
         cells: scenario.cells as u32,
         width: scenario.width as u32,
-        window: options.idempotency_window.min(scenario.window),
+        idempotency_window: options.idempotency_window.min(scenario.window),
         read_lag: scenario.tile.read_lag,
         pushed: !scenario.on_request,
         indented: scenario.indented,
--- a/crates/fleet/src/run/upgrade.rs
+++ b/crates/fleet/src/run/upgrade.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::time::Duration;
 
-use badgergauge_standin::ledger::{Breach, Rule};
+use badgergauge_standin::ledger::{Rule, Violation};
 use rustix::process::Signal;
 
 use super::settings::query_classes;
@@ -160,6 +160,6 @@
     /// Records a violation of a rule that the harness itself has observed.
     pub(super) fn record_violation(&mut self, rule: Rule, what: String) {
         let at = self.now();
-        self.gathered.broken.push(Breach { at, rule, what });
+        self.gathered.broken.push(Violation { at, rule, details: what });
     }
 }
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -1,5 +1,6 @@
-//! Many stand-in tile servers and a discovery with its list, in one thread on one poller. What servers do with
-//! parts is decided by [`Model`], what of it counts or breaks a rule by [`Ledger`]; here are only the sockets.
+//! Many stand-in tile servers and a discovery service, in one thread on one poller. [`ServerModel`] decides
+//! how servers handle parts, and [`Ledger`] counts them and checks the protocol's rules; this module does the
+//! socket I/O.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -15,111 +16,116 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
 
-use crate::ledger::{Ledger, Named, Rule};
-use crate::model::{Figures, Manner, Model, Taken};
-use crate::{MAX_FRAME, lines, value};
+use crate::ledger::{Ledger, PartRef, Rule};
+use crate::model::{Behaviour, PartOutcome, ServerModel, ServerParameters};
+use crate::{MAX_FRAME_BYTES, parse_call, part_value};
 
-/// Discovery writes an empty line so often while nothing changes.
-const BEAT: Duration = Duration::from_secs(2);
-/// What a silent watch misses counts as told so long after it fell silent, says the standing test's page.
-const SILENT_IS_TOLD: Duration = Duration::from_secs(6);
-/// Bytes of a chunk where lists come in small ones.
-const SMALL_CHUNK: usize = 61;
+/// Interval at which discovery writes an empty line to every watch.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// Time after which a list update is deemed delivered to a broker whose watch is stalled, counted from the
+/// stall, as the specification of the fleet test has it.
+const DELIVERY_DEADLINE: Duration = Duration::from_secs(6);
+/// Size of a chunk when lists are sent in small chunks: [`WorldConfig::indented`].
+const SMALL_CHUNK_BYTES: usize = 61;
 
-/// A tile server of the world.
+/// Configuration of a tile server.
 #[derive(Clone, Debug)]
-pub struct Placed {
+pub struct ServerConfig {
     /// Its name.
     pub name: String,
-    /// Its zone's name.
+    /// Name of its zone.
     pub zone: String,
     /// Its cell.
     pub cell: u32,
-    /// Whether it is up from the start; others are kept for later.
-    pub up: bool,
+    /// Whether it is up and listed from the start; others wait for [`WorldCommand::StartServer`].
+    pub initially_up: bool,
 }
 
-/// What the world is made of.
+/// Configuration of a world.
 #[derive(Clone, Debug)]
-pub struct Setting {
-    /// What each server can do.
-    pub figures: Figures,
-    /// The servers, those of later included.
-    pub servers: Vec<Placed>,
-    /// How many brokers ask discovery.
+pub struct WorldConfig {
+    /// Capacity and timing of each server.
+    pub parameters: ServerParameters,
+    /// All servers, including those that start later.
+    pub servers: Vec<ServerConfig>,
+    /// Number of brokers; discovery has a listener for each.
     pub brokers: usize,
-    /// Cells, and how many of them hold a shard, as the settings say.
+    /// Number of cells.
     pub cells: u32,
-    /// Holders of each shard.
+    /// Number of consecutive cells that hold each shard.
     pub width: u32,
-    /// How long a key is known after its part first ran.
-    pub window: Duration,
-    /// Connections are read up to so late, each drawn anew: servers are busy.
+    /// How long servers remember an idempotency key after its part was first executed.
+    pub idempotency_window: Duration,
+    /// Largest delay before a server reads from a readable connection, as a busy server would; drawn anew for
+    /// each read.
     pub read_lag: Duration,
-    /// Lists are pushed to an agent beside each broker: what it has counts as told, watch or none.
+    /// Whether lists are pushed to an agent beside each broker. A broker then counts as informed once its
+    /// agent is, even without a watch.
     pub pushed: bool,
-    /// Lists come indented, in small chunks.
+    /// Whether lists are sent as indented JSON in small chunks.
     pub indented: bool,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
 /// A server's state in discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
-    /// It serves.
+pub enum ListedState {
+    /// It accepts parts.
     Up,
-    /// It finishes what it has.
+    /// It finishes the parts that it has.
     Draining,
     /// It is not in the list.
-    Gone,
+    Removed,
 }
 
-/// What the world is told.
+/// A command to the running world. Servers and brokers are given by index, times count from the start of the
+/// run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Tell {
-    /// A server does this with parts from now on.
-    Behave(usize, Manner),
-    /// A server's process ends: its connections are reset.
-    Stop(usize),
-    /// A server's process starts, cold.
-    Start(usize),
-    /// The list changes.
-    List(usize, Listed),
-    /// What discovery has to say comes so late from now on.
-    Late(Duration),
-    /// Discovery turns callers away until then.
-    TurnAwayUntil(Duration),
-    /// Discovery is silent until then: it takes connections, answers none of them, and the watches that are open
-    /// bring nothing any more, then or later.
-    SilentUntil(Duration),
-    /// A broker's process is gone.
-    BrokerGone(usize),
-    /// A broker's process starts.
-    BrokerStarts(usize),
-    /// The world ends.
-    End,
+pub enum WorldCommand {
+    /// Sets how a server handles parts.
+    SetBehaviour(usize, Behaviour),
+    /// Stops a server, which resets its connections.
+    StopServer(usize),
+    /// Starts a server, cold.
+    StartServer(usize),
+    /// Changes a server's state in the list.
+    SetListed(usize, ListedState),
+    /// Delays later list updates by this much.
+    DelayListUpdates(Duration),
+    /// Makes discovery answer calls with status 503 until then.
+    RejectCallsUntil(Duration),
+    /// Stalls discovery until then: it accepts connections but does not answer, and the watches that are open
+    /// now receive nothing, even afterwards.
+    StallDiscoveryUntil(Duration),
+    /// Reports that a broker's process has ended.
+    BrokerStopped(usize),
+    /// Reports that a broker's process starts.
+    BrokerStarted(usize),
+    /// Ends the world's thread.
+    Shutdown,
 }
 
-/// The running world.
+/// A running world. Dropping it stops its thread.
 pub struct World {
-    tell: Sender<Tell>,
+    sender: Sender<WorldCommand>,
     waker: Waker,
     thread: Option<JoinHandle<()>>,
     ledger: Arc<Mutex<Ledger>>,
-    tiles: Vec<SocketAddr>,
-    discovery: Vec<SocketAddr>,
+    tile_addresses: Vec<SocketAddr>,
+    discovery_addresses: Vec<SocketAddr>,
 }
 
 impl World {
-    /// Binds all sockets and starts. `addresses` tells, for a broker and a server, where that broker finds it,
-    /// once the world's own addresses are known; times count from `start`.
+    /// Binds all sockets and starts the world's thread. `addresses` gets the servers' addresses and returns
+    /// the addresses to list for them, by broker and server; a test puts proxies there. Times count from
+    /// `start`.
     ///
     /// # Errors
     ///
-    /// When loopback has no port left.
+    /// When a port can't be bound, when `addresses` fails, or when the thread can't be started.
     pub fn start(
-        setting: Setting,
+        config: WorldConfig,
         start: Instant,
         addresses: impl FnOnce(&[SocketAddr]) -> io::Result<Vec<Vec<SocketAddr>>>,
     ) -> io::Result<Self> {
@@ -128,44 +134,47 @@
             listener.set_nonblocking(true)?;
             Ok(listener)
         };
-        let tile_listeners: Vec<_> = setting.servers.iter().map(|_| bind()).collect::<Result<_, _>>()?;
-        let discovery_listeners: Vec<_> = (0..setting.brokers).map(|_| bind()).collect::<Result<_, _>>()?;
-        let at = |all: &[TcpListener]| all.iter().map(TcpListener::local_addr).collect::<Result<Vec<_>, _>>();
-        let (tiles, discovery) = (at(&tile_listeners)?, at(&discovery_listeners)?);
-        let addresses = addresses(&tiles)?;
-        let ledger = Arc::new(Mutex::new(Ledger::new(setting.window)));
-        let (tell, told) = mpsc::channel();
-        let mut running = Running::new(setting, start, addresses, ledger.clone(), told)?;
-        let tiles_of = tile_listeners.into_iter().enumerate().map(|(s, l)| (Which::Tile(s), l));
-        let discovery_of = discovery_listeners.into_iter().enumerate().map(|(b, l)| (Which::Discovery(b), l));
-        for (which, listener) in tiles_of.chain(discovery_of) {
-            let key = running.new_key();
-            running.poll.add(&listener, key, true, false)?;
-            running.listeners.insert(key, (which, listener));
+        let tile_listeners: Vec<_> = config.servers.iter().map(|_| bind()).collect::<Result<_, _>>()?;
+        let discovery_listeners: Vec<_> = (0..config.brokers).map(|_| bind()).collect::<Result<_, _>>()?;
+        let local_addresses =
+            |all: &[TcpListener]| all.iter().map(TcpListener::local_addr).collect::<Result<Vec<_>, _>>();
+        let tile_addresses = local_addresses(&tile_listeners)?;
+        let discovery_addresses = local_addresses(&discovery_listeners)?;
+        let addresses = addresses(&tile_addresses)?;
+        let ledger = Arc::new(Mutex::new(Ledger::new(config.idempotency_window)));
+        let (sender, commands) = mpsc::channel();
+        let mut event_loop = EventLoop::new(config, start, addresses, ledger.clone(), commands)?;
+        let tile_endpoints = tile_listeners.into_iter().enumerate().map(|(s, l)| (Endpoint::Tile(s), l));
+        let discovery_endpoints =
+            discovery_listeners.into_iter().enumerate().map(|(b, l)| (Endpoint::Discovery(b), l));
+        for (endpoint, listener) in tile_endpoints.chain(discovery_endpoints) {
+            let key = event_loop.new_key();
+            event_loop.poll.add(&listener, key, true, false)?;
+            event_loop.listeners.insert(key, (endpoint, listener));
         }
-        let waker = running.poll.waker();
-        let thread = thread::Builder::new().name("world".into()).spawn(move || running.run())?;
-        Ok(World { tell, waker, thread: Some(thread), ledger, tiles, discovery })
+        let waker = event_loop.poll.waker();
+        let thread = thread::Builder::new().name("world".into()).spawn(move || event_loop.run())?;
+        Ok(World { sender, waker, thread: Some(thread), ledger, tile_addresses, discovery_addresses })
     }
 
-    /// Where discovery listens for a broker.
-    pub fn discovery(&self, broker: usize) -> SocketAddr {
-        self.discovery[broker]
+    /// Address on which discovery listens for a broker.
+    pub fn discovery_address(&self, broker: usize) -> SocketAddr {
+        self.discovery_addresses[broker]
     }
 
-    /// Where a server listens itself.
-    pub fn tile(&self, server: usize) -> SocketAddr {
-        self.tiles[server]
+    /// Address on which a server itself listens.
+    pub fn tile_address(&self, server: usize) -> SocketAddr {
+        self.tile_addresses[server]
     }
 
-    /// Tells it something; it takes hold at once.
-    pub fn tell(&self, what: Tell) {
-        // It ends only with `drop`, after which nobody tells it anything.
-        let _ = self.tell.send(what);
+    /// Sends a command. The thread applies it before it handles any socket event that follows.
+    pub fn send(&self, command: WorldCommand) {
+        // The thread ends early only if its poller fails; the command then has no effect.
+        let _ = self.sender.send(command);
         self.waker.wake();
     }
 
-    /// What was seen so far.
+    /// The counters and violations so far.
     pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
         lock(&self.ledger)
     }
@@ -173,131 +182,155 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        self.tell(Tell::End);
+        self.send(WorldCommand::Shutdown);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-/// The state stays usable when a thread has panicked: each change to it is whole.
+/// Locks the ledger. A poisoned lock is usable: no update leaves the ledger inconsistent when a thread
+/// panics.
 fn lock(ledger: &Mutex<Ledger>) -> MutexGuard<'_, Ledger> {
     ledger.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+/// The service at a listener or connection.
 #[derive(Clone, Copy, PartialEq)]
-enum Which {
+enum Endpoint {
+    /// A tile server, by index.
     Tile(usize),
+    /// Discovery, as seen by the broker of this index.
     Discovery(usize),
 }
 
-enum Due {
-    /// A connection is read, late as it may be.
-    Read(usize),
-    /// A part's answer goes out: on a connection, of an id, as these bytes.
-    Answer(usize, String, Vec<u8>),
-    /// The list as it is now is told.
-    Push(u64),
-    /// An empty line on every watch.
-    Beat,
-    /// Discovery speaks again.
-    Back,
-    /// What a broker's silent watch has missed counts as told, if that watch is still there.
-    Told(usize),
+enum TimerEvent {
+    /// Reads a connection after its read lag.
+    Read { connection: usize },
+    /// Sends the response to a part.
+    SendResponse { connection: usize, part_id: String, frame: Vec<u8> },
+    /// Publishes a version of the list.
+    PublishList { version: u64 },
+    /// Writes an empty line to every watch.
+    Heartbeat,
+    /// Ends a stall of discovery.
+    DiscoveryResumes,
+    /// Deems the list delivered to a broker whose watch was stalled.
+    DeemedDelivered { broker: usize },
 }
 
-struct Link {
-    which: Which,
+/// An accepted connection.
+struct Connection {
+    endpoint: Endpoint,
     stream: TcpStream,
-    bytes: Vec<u8>,
-    out: Vec<u8>,
-    /// When the first byte of the frame under way came.
-    begun: Option<Duration>,
-    /// Whether discovery's head was written.
-    watching: bool,
-    /// Since when it brings nothing any more, though it stays open.
-    silent: Option<Duration>,
+    read_buffer: Vec<u8>,
+    write_buffer: Vec<u8>,
+    /// When the first byte of the unfinished frame was received.
+    frame_started: Option<Duration>,
+    /// Whether discovery has written the response head, so that lists follow.
+    is_watch: bool,
+    /// Since when discovery no longer writes to it, though it stays open.
+    stalled_since: Option<Duration>,
 }
 
-struct Running {
-    setting: Setting,
+/// A server's entry in a version of the list.
+#[derive(Clone, Copy)]
+struct ListEntry {
+    state: ListedState,
+    /// When its process started, in Unix milliseconds; 0 for before the run.
+    since_ms: u64,
+}
+
+/// The state of the world's thread.
+struct EventLoop {
+    config: WorldConfig,
     start: Instant,
-    /// Where each broker finds each server.
+    /// Listed address of each server, by broker and server.
     addresses: Vec<Vec<SocketAddr>>,
     ledger: Arc<Mutex<Ledger>>,
-    told: Receiver<Tell>,
+    commands: Receiver<WorldCommand>,
     poll: Poll,
+    /// The last poll key that was assigned.
     last_key: usize,
-    listeners: HashMap<usize, (Which, TcpListener)>,
-    links: HashMap<usize, Link>,
-    due: BinaryHeap<Reverse<(Duration, u64)>>,
-    what: HashMap<u64, Due>,
-    last_due: u64,
-    models: Vec<Model>,
-    /// A server takes no connection before that: it fell over, or its process is not there.
-    down: Vec<Option<Duration>>,
-    /// When each server's process started, in Unix milliseconds; 0 for long ago.
+    listeners: HashMap<usize, (Endpoint, TcpListener)>,
+    connections: HashMap<usize, Connection>,
+    /// Due time and id of each timer.
+    timers: BinaryHeap<Reverse<(Duration, u64)>>,
+    /// The timers' events by id.
+    timer_events: HashMap<u64, TimerEvent>,
+    /// Id of the last timer that was set.
+    last_timer: u64,
+    models: Vec<ServerModel>,
+    /// Until when each server refuses connections: it has crashed, or was stopped (`Duration::MAX`). `None`
+    /// if it is up.
+    down_until: Vec<Option<Duration>>,
+    /// When each server's process started, in Unix milliseconds; 0 for before the run.
     since_ms: Vec<u64>,
-    list: Vec<Listed>,
-    index: u64,
-    /// What callers see: each version with what it says.
-    views: BTreeMap<u64, Vec<(Listed, u64)>>,
-    /// The newest version that has been told.
-    shown: u64,
-    late: Duration,
-    turn_away_until: Duration,
-    silent_until: Duration,
+    /// Current state of each server in the list.
+    list: Vec<ListedState>,
+    /// The newest version of the list.
+    version: u64,
+    /// The published version and those that are yet to be published.
+    list_versions: BTreeMap<u64, Vec<ListEntry>>,
+    /// The published version.
+    published: u64,
+    publish_delay: Duration,
+    reject_calls_until: Duration,
+    stalled_until: Duration,
     rng: ChaCha8Rng,
 }
 
-impl Link {
-    /// Whether it is a watch on which something may still come.
-    fn speaks(&self) -> bool {
-        self.watching && self.silent.is_none()
+impl Connection {
+    /// Whether it is a watch that still receives updates.
+    fn is_live_watch(&self) -> bool {
+        self.is_watch && self.stalled_since.is_none()
     }
 }
 
-impl Running {
+impl EventLoop {
     fn new(
-        setting: Setting,
+        config: WorldConfig,
         start: Instant,
         addresses: Vec<Vec<SocketAddr>>,
         ledger: Arc<Mutex<Ledger>>,
-        told: Receiver<Tell>,
+        commands: Receiver<WorldCommand>,
     ) -> io::Result<Self> {
-        let list: Vec<Listed> =
-            setting.servers.iter().map(|s| if s.up { Listed::Up } else { Listed::Gone }).collect();
-        let models = setting.servers.iter().map(|_| Model::new(setting.figures, None)).collect();
-        let down = setting.servers.iter().map(|s| (!s.up).then_some(Duration::MAX)).collect();
-        let since_ms = vec![0; setting.servers.len()];
-        let view = list.iter().map(|state| (*state, 0)).collect();
-        let mut running = Running {
-            rng: ChaCha8Rng::seed_from_u64(setting.seed),
-            setting,
+        let list: Vec<ListedState> = config
+            .servers
+            .iter()
+            .map(|s| if s.initially_up { ListedState::Up } else { ListedState::Removed })
+            .collect();
+        let models = config.servers.iter().map(|_| ServerModel::new(config.parameters, None)).collect();
+        let down_until = config.servers.iter().map(|s| (!s.initially_up).then_some(Duration::MAX)).collect();
+        let since_ms = vec![0; config.servers.len()];
+        let entries = list.iter().map(|state| ListEntry { state: *state, since_ms: 0 }).collect();
+        let mut event_loop = EventLoop {
+            rng: ChaCha8Rng::seed_from_u64(config.seed),
+            config,
             start,
             addresses,
             ledger,
-            told,
+            commands,
             poll: Poll::new()?,
             last_key: 0,
             listeners: HashMap::new(),
-            links: HashMap::new(),
-            due: BinaryHeap::new(),
-            what: HashMap::new(),
-            last_due: 0,
+            connections: HashMap::new(),
+            timers: BinaryHeap::new(),
+            timer_events: HashMap::new(),
+            last_timer: 0,
             models,
-            down,
+            down_until,
             since_ms,
             list,
-            index: 1,
-            views: BTreeMap::from([(1, view)]),
-            shown: 1,
-            late: Duration::ZERO,
-            turn_away_until: Duration::ZERO,
-            silent_until: Duration::ZERO,
+            version: 1,
+            list_versions: BTreeMap::from([(1, entries)]),
+            published: 1,
+            publish_delay: Duration::ZERO,
+            reject_calls_until: Duration::ZERO,
+            stalled_until: Duration::ZERO,
         };
-        running.arm(BEAT, Due::Beat);
-        Ok(running)
+        event_loop.set_timer(HEARTBEAT_INTERVAL, TimerEvent::Heartbeat);
+        Ok(event_loop)
     }
 
     fn new_key(&mut self) -> usize {
@@ -305,39 +338,39 @@
         self.last_key
     }
 
-    fn arm(&mut self, at: Duration, what: Due) {
-        self.last_due += 1;
-        self.due.push(Reverse((at, self.last_due)));
-        self.what.insert(self.last_due, what);
+    fn set_timer(&mut self, at: Duration, event: TimerEvent) {
+        self.last_timer += 1;
+        self.timers.push(Reverse((at, self.last_timer)));
+        self.timer_events.insert(self.last_timer, event);
     }
 
     fn run(mut self) {
         let mut ready: Vec<Ready> = Vec::new();
         loop {
-            let pause = self.due.peek().map(|Reverse((at, _))| at.saturating_sub(self.start.elapsed()));
-            if self.poll.wait(pause, &mut ready).is_err() {
+            let timeout = self.timers.peek().map(|Reverse((at, _))| at.saturating_sub(self.start.elapsed()));
+            if self.poll.wait(timeout, &mut ready).is_err() {
                 return;
             }
             let now = self.start.elapsed();
-            while let Ok(tell) = self.told.try_recv() {
-                if tell == Tell::End {
+            while let Ok(command) = self.commands.try_recv() {
+                if command == WorldCommand::Shutdown {
                     return;
                 }
-                self.heed(now, tell);
+                self.apply_command(now, command);
             }
             for report in std::mem::take(&mut ready) {
-                self.ready(now, report);
+                self.on_ready(now, report);
             }
-            while let Some(Reverse((_, id))) = self.due.peek().copied().filter(|due| due.0.0 <= now) {
-                self.due.pop();
-                if let Some(what) = self.what.remove(&id) {
-                    self.falls_due(now, what);
+            while let Some(Reverse((_, id))) = self.timers.peek().copied().filter(|due| due.0.0 <= now) {
+                self.timers.pop();
+                if let Some(event) = self.timer_events.remove(&id) {
+                    self.on_timer(now, event);
                 }
             }
         }
     }
 
-    fn ready(&mut self, now: Duration, report: Ready) {
+    fn on_ready(&mut self, now: Duration, report: Ready) {
         let key = report.key;
         if self.listeners.contains_key(&key) {
             self.accept(now, key);
@@ -346,144 +379,173 @@
         if report.writable {
             self.write(key);
         }
-        if report.readable && self.links.contains_key(&key) {
-            let tile = matches!(self.links[&key].which, Which::Tile(_));
-            let lag = if tile { self.setting.read_lag.mul_f64(self.rng.random()) } else { Duration::ZERO };
-            if lag.is_zero() { self.read(now, key) } else { self.arm(now + lag, Due::Read(key)) }
+        if report.readable && self.connections.contains_key(&key) {
+            let tile = matches!(self.connections[&key].endpoint, Endpoint::Tile(_));
+            let lag = if tile { self.config.read_lag.mul_f64(self.rng.random()) } else { Duration::ZERO };
+            if lag.is_zero() {
+                self.read(now, key)
+            } else {
+                self.set_timer(now + lag, TimerEvent::Read { connection: key })
+            }
         }
     }
 
-    fn falls_due(&mut self, now: Duration, what: Due) {
-        match what {
-            Due::Read(key) => self.read(now, key),
-            Due::Answer(key, id, bytes) => {
-                lock(&self.ledger).over(key, &id);
-                self.send(key, &bytes);
+    fn on_timer(&mut self, now: Duration, event: TimerEvent) {
+        match event {
+            TimerEvent::Read { connection } => self.read(now, connection),
+            TimerEvent::SendResponse { connection, part_id, frame } => {
+                lock(&self.ledger).part_finished(connection, &part_id);
+                self.queue_bytes(connection, &frame);
             }
-            Due::Push(version) => self.push(now, version),
-            Due::Beat => {
-                self.arm(now + BEAT, Due::Beat);
+            TimerEvent::PublishList { version } => self.publish_list(now, version),
+            TimerEvent::Heartbeat => {
+                self.set_timer(now + HEARTBEAT_INTERVAL, TimerEvent::Heartbeat);
                 let watching: Vec<usize> =
-                    self.links.iter().filter(|(_, l)| l.speaks()).map(|(key, _)| *key).collect();
-                watching.into_iter().for_each(|key| self.send(key, b"1\r\n\n\r\n"));
+                    self.connections.iter().filter(|(_, l)| l.is_live_watch()).map(|(key, _)| *key).collect();
+                watching.into_iter().for_each(|key| self.queue_bytes(key, b"1\r\n\n\r\n"));
             }
-            Due::Back => {
-                let silent = |broker: usize| {
-                    let of = |link: &&Link| link.which == Which::Discovery(broker) && link.watching;
-                    self.links.values().filter(of).filter_map(|link| link.silent).min()
+            TimerEvent::DiscoveryResumes => {
+                let stalled_since = |broker: usize| {
+                    let is_watch_of_broker = |connection: &&Connection| {
+                        connection.endpoint == Endpoint::Discovery(broker) && connection.is_watch
+                    };
+                    self.connections
+                        .values()
+                        .filter(is_watch_of_broker)
+                        .filter_map(|connection| connection.stalled_since)
+                        .min()
                 };
-                let since: Vec<_> = (0..self.setting.brokers).map(silent).collect();
+                let since: Vec<_> = (0..self.config.brokers).map(stalled_since).collect();
                 for (broker, since) in since.into_iter().enumerate() {
                     match since {
-                        Some(since) => self.arm(since + SILENT_IS_TOLD, Due::Told(broker)),
-                        None => self.has(now, broker),
+                        Some(since) => {
+                            self.set_timer(since + DELIVERY_DEADLINE, TimerEvent::DeemedDelivered { broker })
+                        }
+                        None => self.deliver_to_agent(now, broker),
                     }
                 }
             }
-            Due::Told(broker) => self.has(now, broker),
+            TimerEvent::DeemedDelivered { broker } => self.deliver_to_agent(now, broker),
         }
     }
 
-    fn heed(&mut self, now: Duration, tell: Tell) {
-        match tell {
-            Tell::Behave(server, manner) => self.models[server].behave(manner),
-            Tell::Stop(server) => {
-                self.down[server] = Some(Duration::MAX);
-                self.reset(server);
+    fn apply_command(&mut self, now: Duration, command: WorldCommand) {
+        match command {
+            WorldCommand::SetBehaviour(server, behaviour) => self.models[server].set_behaviour(behaviour),
+            WorldCommand::StopServer(server) => {
+                self.down_until[server] = Some(Duration::MAX);
+                self.reset_server_connections(server);
             }
-            Tell::Start(server) => self.starts(now, server),
-            Tell::List(server, state) => {
+            WorldCommand::StartServer(server) => self.start_server(now, server),
+            WorldCommand::SetListed(server, state) => {
                 self.list[server] = state;
-                self.changed(now);
+                self.schedule_publish(now);
             }
-            Tell::Late(late) => self.late = late,
-            Tell::TurnAwayUntil(until) => self.turn_away_until = until,
-            Tell::SilentUntil(until) => {
-                self.silent_until = until;
-                let watches =
-                    self.links.values_mut().filter(|link| matches!(link.which, Which::Discovery(_)));
-                watches.for_each(|link| link.silent = link.silent.or(Some(now)));
-                self.arm(until, Due::Back);
+            WorldCommand::DelayListUpdates(delay) => self.publish_delay = delay,
+            WorldCommand::RejectCallsUntil(until) => self.reject_calls_until = until,
+            WorldCommand::StallDiscoveryUntil(until) => {
+                self.stalled_until = until;
+                let watches = self
+                    .connections
+                    .values_mut()
+                    .filter(|connection| matches!(connection.endpoint, Endpoint::Discovery(_)));
+                watches
+                    .for_each(|connection| connection.stalled_since = connection.stalled_since.or(Some(now)));
+                self.set_timer(until, TimerEvent::DiscoveryResumes);
             }
-            Tell::BrokerGone(broker) => lock(&self.ledger).forget(broker),
-            Tell::BrokerStarts(broker) => self.has(now, broker),
-            Tell::End => {}
+            WorldCommand::BrokerStopped(broker) => lock(&self.ledger).forget_broker(broker),
+            WorldCommand::BrokerStarted(broker) => self.deliver_to_agent(now, broker),
+            WorldCommand::Shutdown => {}
         }
     }
 
-    /// A server's process starts, or comes back after it fell over.
-    fn starts(&mut self, now: Duration, server: usize) {
-        self.down[server] = None;
-        self.models[server] = Model::new(self.setting.figures, Some(now));
+    /// Starts a server's process, also after a crash.
+    fn start_server(&mut self, now: Duration, server: usize) {
+        self.down_until[server] = None;
+        self.models[server] = ServerModel::new(self.config.parameters, Some(now));
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         self.since_ms[server] = unix.as_millis() as u64;
-        self.changed(now);
-    }
-
-    fn changed(&mut self, now: Duration) {
-        self.index += 1;
-        let view = self.list.iter().copied().zip(self.since_ms.iter().copied()).collect();
-        self.views.insert(self.index, view);
-        self.arm(now + self.late, Due::Push(self.index));
-    }
-
-    /// Resets all connections of a server, as its process's end would.
-    fn reset(&mut self, server: usize) {
-        let of: Vec<usize> =
-            self.links.iter().filter(|(_, l)| l.which == Which::Tile(server)).map(|(key, _)| *key).collect();
-        for key in of {
-            self.drop_link(key, true);
+        self.schedule_publish(now);
+    }
+
+    /// Creates a new version of the list, to be published after the delay.
+    fn schedule_publish(&mut self, now: Duration) {
+        self.version += 1;
+        let servers = self.list.iter().zip(&self.since_ms);
+        let entries =
+            servers.map(|(state, since_ms)| ListEntry { state: *state, since_ms: *since_ms }).collect();
+        self.list_versions.insert(self.version, entries);
+        self.set_timer(now + self.publish_delay, TimerEvent::PublishList { version: self.version });
+    }
+
+    /// Resets all connections of a server, as the end of its process does.
+    fn reset_server_connections(&mut self, server: usize) {
+        let keys: Vec<usize> = self
+            .connections
+            .iter()
+            .filter(|(_, l)| l.endpoint == Endpoint::Tile(server))
+            .map(|(key, _)| *key)
+            .collect();
+        for key in keys {
+            self.close_connection(key, true);
         }
     }
 
-    fn drop_link(&mut self, key: usize, reset: bool) {
-        let Some(link) = self.links.remove(&key) else { return };
-        self.poll.remove(&link.stream);
-        if let (Which::Discovery(broker), Some(_)) = (link.which, link.silent) {
-            // What that watch missed is no longer missed: the agent has it.
-            self.has(self.start.elapsed(), broker);
+    fn close_connection(&mut self, key: usize, reset: bool) {
+        let Some(connection) = self.connections.remove(&key) else { return };
+        self.poll.remove(&connection.stream);
+        if let (Endpoint::Discovery(broker), Some(_)) = (connection.endpoint, connection.stalled_since) {
+            // Without the stalled watch, the broker gets the list through its agent.
+            self.deliver_to_agent(self.start.elapsed(), broker);
         }
         if reset {
-            let _ = socket2::SockRef::from(&link.stream).set_linger(Some(Duration::ZERO));
+            let _ = socket2::SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
         }
-        lock(&self.ledger).ended(key);
+        lock(&self.ledger).connection_closed(key);
     }
 
     fn accept(&mut self, now: Duration, key: usize) {
         loop {
-            let Some((which, listener)) = self.listeners.get(&key) else { return };
-            let (which, accepted) = (*which, listener.accept());
+            let Some((endpoint, listener)) = self.listeners.get(&key) else { return };
+            let (endpoint, accepted) = (*endpoint, listener.accept());
             let Ok((stream, _)) = accepted else { break };
-            let fit = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
-            if fit.is_err() {
+            let configured = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
+            if configured.is_err() {
                 continue;
             }
-            if let Which::Tile(server) = which {
-                let is_down = match self.down[server] {
+            if let Endpoint::Tile(server) = endpoint {
+                let is_down = match self.down_until[server] {
                     Some(until) if until > now => true,
                     Some(_) => {
-                        self.starts(now, server);
+                        self.start_server(now, server);
                         false
                     }
                     None => false,
                 };
-                let open = self.links.values().filter(|l| l.which == which).count();
+                let open = self.connections.values().filter(|l| l.endpoint == endpoint).count();
                 let mut ledger = lock(&self.ledger);
-                let cell = ledger.cell(now, server);
-                if is_down || open >= self.setting.figures.connections {
-                    cell.refused += 1;
+                let counts = ledger.counts_mut(now, server);
+                if is_down || open >= self.config.parameters.max_connections {
+                    counts.refused_connections += 1;
                     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                     continue;
                 }
-                cell.handshakes += 1;
-                cell.open = cell.open.max(open as u32 + 1);
+                counts.handshakes += 1;
+                counts.max_open = counts.max_open.max(open as u32 + 1);
             }
             let key = self.new_key();
             if self.poll.add(&stream, key, true, false).is_ok() {
-                let (bytes, out) = (Vec::new(), Vec::new());
-                self.links.insert(
+                self.connections.insert(
                     key,
-                    Link { which, stream, bytes, out, begun: None, watching: false, silent: None },
+                    Connection {
+                        endpoint,
+                        stream,
+                        read_buffer: Vec::new(),
+                        write_buffer: Vec::new(),
+                        frame_started: None,
+                        is_watch: false,
+                        stalled_since: None,
+                    },
                 );
             }
         }
@@ -492,271 +554,295 @@
         }
     }
 
-    /// Queues bytes on a connection and writes what it takes.
-    fn send(&mut self, key: usize, bytes: &[u8]) {
-        if let Some(link) = self.links.get_mut(&key) {
-            link.out.extend_from_slice(bytes);
+    /// Queues bytes on a connection and writes as many as its socket accepts.
+    fn queue_bytes(&mut self, key: usize, bytes: &[u8]) {
+        if let Some(connection) = self.connections.get_mut(&key) {
+            connection.write_buffer.extend_from_slice(bytes);
             self.write(key);
         }
     }
 
     fn write(&mut self, key: usize) {
-        let Some(link) = self.links.get_mut(&key) else { return };
-        while !link.out.is_empty() {
-            match link.stream.write(&link.out) {
-                Ok(written) => drop(link.out.drain(..written)),
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        while !connection.write_buffer.is_empty() {
+            match connection.stream.write(&connection.write_buffer) {
+                Ok(written) => drop(connection.write_buffer.drain(..written)),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                Err(_) => return self.drop_link(key, false),
+                Err(_) => return self.close_connection(key, false),
             }
         }
-        self.ask(key);
+        self.rearm(key);
     }
 
-    fn ask(&mut self, key: usize) {
-        let Some(link) = self.links.get(&key) else { return };
-        let _ = self.poll.rearm(&link.stream, key, true, !link.out.is_empty());
+    fn rearm(&mut self, key: usize) {
+        let Some(connection) = self.connections.get(&key) else { return };
+        let _ = self.poll.rearm(&connection.stream, key, true, !connection.write_buffer.is_empty());
     }
 
     fn read(&mut self, now: Duration, key: usize) {
-        let Some(link) = self.links.get_mut(&key) else { return };
+        let Some(connection) = self.connections.get_mut(&key) else { return };
         let mut buffer = [0; 16 * 1024];
-        let over = loop {
-            match link.stream.read(&mut buffer) {
+        let is_closed = loop {
+            match connection.stream.read(&mut buffer) {
                 Ok(0) => break true,
-                Ok(read) => link.bytes.extend_from_slice(&buffer[..read]),
+                Ok(read) => connection.read_buffer.extend_from_slice(&buffer[..read]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break false,
-                // The network has ended it, or its broker's process has: nobody waits for what came before.
-                Err(_) => return self.drop_link(key, false),
+                // The network or the end of the broker's process reset it: nobody waits for answers to its
+                // parts.
+                Err(_) => return self.close_connection(key, false),
             }
         };
-        match link.which {
-            Which::Tile(server) => self.frames(now, key, server),
-            Which::Discovery(broker) => self.call_for_list(now, key, broker),
+        match connection.endpoint {
+            Endpoint::Tile(server) => self.process_frames(now, key, server),
+            Endpoint::Discovery(broker) => self.on_discovery_call(now, key, broker),
         }
-        let Some(link) = self.links.get(&key) else { return };
-        if over {
-            if matches!(link.which, Which::Tile(_)) && !link.bytes.is_empty() {
-                let what = format!("a frame of {} bytes so far was never ended", link.bytes.len());
-                lock(&self.ledger).breach(now, Rule::CutFrame, what);
+        let Some(connection) = self.connections.get(&key) else { return };
+        if is_closed {
+            if matches!(connection.endpoint, Endpoint::Tile(_)) && !connection.read_buffer.is_empty() {
+                let details =
+                    format!("connection closed after {} bytes of a frame", connection.read_buffer.len());
+                lock(&self.ledger).record_violation(now, Rule::CutFrame, details);
             }
-            self.drop_link(key, false);
+            self.close_connection(key, false);
         } else {
-            self.ask(key);
+            self.rearm(key);
         }
     }
 
-    /// Takes the whole frames that have come on a connection.
-    fn frames(&mut self, now: Duration, key: usize, server: usize) {
+    /// Processes the complete frames in a connection's read buffer.
+    fn process_frames(&mut self, now: Duration, key: usize, server: usize) {
         loop {
-            let Some(link) = self.links.get_mut(&key) else { return };
-            let Some((length, rest)) = link.bytes.split_first_chunk::<4>() else {
-                link.begun = (!link.bytes.is_empty()).then(|| link.begun.unwrap_or(now));
+            let Some(connection) = self.connections.get_mut(&key) else { return };
+            let Some((length, rest)) = connection.read_buffer.split_first_chunk::<4>() else {
+                connection.frame_started =
+                    (!connection.read_buffer.is_empty()).then(|| connection.frame_started.unwrap_or(now));
                 return;
             };
             let length = u32::from_be_bytes(*length) as usize;
-            let begun = link.begun.unwrap_or(now);
-            if length == 0 || length > MAX_FRAME {
-                return self.misplaced(now, key, "a frame of no use".to_owned());
+            let frame_started = connection.frame_started.unwrap_or(now);
+            if length == 0 || length > MAX_FRAME_BYTES {
+                return self.reject_frame(
+                    now,
+                    key,
+                    format!("a frame of {length} bytes, which is not from 1 to {MAX_FRAME_BYTES}"),
+                );
             }
             let Some(frame) = rest.get(..length).map(<[u8]>::to_vec) else {
-                link.begun = Some(begun);
+                connection.frame_started = Some(frame_started);
                 return;
             };
-            link.bytes.drain(..4 + length);
-            link.begun = None;
+            connection.read_buffer.drain(..4 + length);
+            connection.frame_started = None;
             match frame[0] {
-                b'q' => self.call(now, begun, key, server, &frame[1..]),
+                b'q' => self.on_call(now, frame_started, key, server, &frame[1..]),
                 b'c' => {
                     let id = String::from_utf8_lossy(&frame[1..]).into_owned();
-                    lock(&self.ledger).over(key, &id);
+                    lock(&self.ledger).part_finished(key, &id);
                 }
                 b'p' | b'l' => {
-                    lock(&self.ledger).cell(now, server).probes += 1;
+                    lock(&self.ledger).counts_mut(now, server).probes += 1;
                     let answer: &[u8] = if frame[0] == b'p' { b"pserved" } else { b"l-" };
-                    self.send(key, &framed(answer));
+                    self.queue_bytes(key, &encode_frame(answer));
                 }
-                _ => return self.misplaced(now, key, "no such frame".to_owned()),
+                kind => return self.reject_frame(now, key, format!("a frame of unknown kind {kind:#04x}")),
             }
         }
     }
 
-    fn misplaced(&mut self, now: Duration, key: usize, what: String) {
-        lock(&self.ledger).breach(now, Rule::Misplaced, what);
-        self.drop_link(key, false);
+    /// Records an invalid frame and closes its connection.
+    fn reject_frame(&mut self, now: Duration, key: usize, details: String) {
+        lock(&self.ledger).record_violation(now, Rule::Misplaced, details);
+        self.close_connection(key, false);
     }
 
-    fn call(&mut self, now: Duration, begun: Duration, key: usize, server: usize, rest: &[u8]) {
-        let parts = match lines(rest) {
+    /// Handles the parts of a call frame, whose first byte was received at `frame_started`.
+    fn on_call(&mut self, now: Duration, frame_started: Duration, key: usize, server: usize, rest: &[u8]) {
+        let parts = match parse_call(rest) {
             Ok(parts) => parts,
-            Err(fault) => return self.misplaced(now, key, fault.to_string()),
+            Err(error) => return self.reject_frame(now, key, error.to_string()),
         };
         for part in parts {
-            let named = Named { id: &part.id, shard: part.shard, key: part.key.as_deref() };
-            self.notice_reset(&part.id);
-            lock(&self.ledger).came(now, begun, server, key, named);
-            let (cell, cells) = (self.setting.servers[server].cell, self.setting.cells.max(1));
-            let holds = (0..self.setting.width).any(|n| (part.shard + n) % cells == cell % cells);
-            if !holds {
-                let what = format!("{} of shard {} went to cell {cell}", part.id, part.shard);
-                lock(&self.ledger).breach(now, Rule::Misplaced, what);
+            let part_ref = PartRef { id: &part.id, shard: part.shard, key: part.key.as_deref() };
+            self.detect_reset(&part.id);
+            lock(&self.ledger).part_received(now, frame_started, server, key, part_ref);
+            let (cell, cells) = (self.config.servers[server].cell, self.config.cells.max(1));
+            let holds_shard = (0..self.config.width).any(|n| (part.shard + n) % cells == cell % cells);
+            if !holds_shard {
+                let details = format!(
+                    "{} of shard {} sent to cell {cell}, which does not hold the shard",
+                    part.id, part.shard
+                );
+                lock(&self.ledger).record_violation(now, Rule::Misplaced, details);
             }
-            let cold = self.models[server].warmth(now) < 1.0;
-            let (work, taken) = self.models[server].take(now, self.rng.random());
-            let strain = self.models[server].strain(now);
+            let is_cold = self.models[server].relative_speed(now) < 1.0;
+            let (work, outcome) = self.models[server].accept_part(now, self.rng.random());
+            let cold_load = self.models[server].cold_load(now);
             let mut ledger = lock(&self.ledger);
-            let cell = ledger.cell(now, server);
-            cell.parts += 1;
-            cell.cold_work += if cold { work } else { 0.0 };
-            cell.strain = cell.strain.max(strain);
+            let counts = ledger.counts_mut(now, server);
+            counts.parts += 1;
+            counts.cold_work += if is_cold { work } else { 0.0 };
+            counts.cold_load = counts.cold_load.max(cold_load);
             let id = &part.id;
-            let (at, answer) = match taken {
-                Taken::Serves(at) => {
-                    let value = value(part.shard, part.text);
+            let (at, response) = match outcome {
+                PartOutcome::Served(at) => {
+                    let value = part_value(part.shard, part.text);
                     (at, format!("a{id} served {} -\n{value}", part.shard + 1))
                 }
-                // Its length does not fit: what follows can't be told apart.
-                Taken::Spoils(at) => (at, format!("z{id} served")),
-                Taken::Breaks(at) => {
-                    cell.lost += 1;
+                // A frame of an unknown kind, which a broker can't parse.
+                PartOutcome::Corrupted(at) => (at, format!("z{id} served")),
+                PartOutcome::Failed(at) => {
+                    counts.lost += 1;
                     (at, format!("a{id} broke 0 -\n"))
                 }
-                Taken::TurnedAway => {
-                    cell.turned_away += 1;
+                PartOutcome::Rejected => {
+                    counts.rejected += 1;
                     (now, format!("a{id} skipped 0 -\n"))
                 }
-                Taken::Swallowed => {
-                    cell.lost += 1;
+                PartOutcome::Ignored => {
+                    counts.lost += 1;
                     continue;
                 }
-                Taken::Closes => {
-                    cell.lost += 1;
+                PartOutcome::ConnectionClosed => {
+                    counts.lost += 1;
                     drop(ledger);
-                    return self.drop_link(key, false);
+                    return self.close_connection(key, false);
                 }
-                Taken::Falls => {
-                    cell.lost += 1;
-                    let name = &self.setting.servers[server].name;
-                    ledger.breach(now, Rule::ColdFell, format!("{name} fell over while it was cold"));
+                PartOutcome::ServerCrashed => {
+                    counts.lost += 1;
+                    let name = &self.config.servers[server].name;
+                    ledger.record_violation(
+                        now,
+                        Rule::ColdFell,
+                        format!("{name} crashed under its load while cold"),
+                    );
                     drop(ledger);
-                    self.down[server] = Some(now + self.setting.figures.down_for);
-                    return self.reset(server);
+                    self.down_until[server] = Some(now + self.config.parameters.restart_delay);
+                    return self.reset_server_connections(server);
                 }
             };
-            if matches!(taken, Taken::Serves(_) | Taken::Spoils(_)) {
-                ledger.runs(now, named);
+            if matches!(outcome, PartOutcome::Served(_) | PartOutcome::Corrupted(_)) {
+                ledger.part_executed(now, part_ref);
             }
             drop(ledger);
-            let bytes = framed(answer.as_bytes());
-            self.arm(at, Due::Answer(key, part.id, bytes));
+            let frame = encode_frame(response.as_bytes());
+            let event = TimerEvent::SendResponse { connection: key, part_id: part.id, frame };
+            self.set_timer(at, event);
         }
     }
 
-    /// A part whose connection the network has reset is over, also where this server has yet to look. What its
-    /// broker ended by a close or said in a frame is over once it is read.
-    fn notice_reset(&mut self, id: &str) {
-        let Some(on) = lock(&self.ledger).out_on(id) else { return };
-        let Some(link) = self.links.get(&on) else { return };
-        // What came before a reset may stand unread before it, so reading would not show it.
-        if matches!(link.stream.take_error(), Ok(Some(error)) if error.kind() == io::ErrorKind::ConnectionReset)
+    /// Closes the connection on which a part is in flight if the network has reset it, so that the part is
+    /// not counted as a second copy. An orderly close or a cancel frame ends a part only when it is read.
+    fn detect_reset(&mut self, id: &str) {
+        let Some(previous) = lock(&self.ledger).connection_of(id) else { return };
+        let Some(connection) = self.connections.get(&previous) else { return };
+        // Reading would not show the reset while earlier bytes are unread.
+        if matches!(connection.stream.take_error(), Ok(Some(error)) if error.kind() == io::ErrorKind::ConnectionReset)
         {
-            self.drop_link(on, false);
+            self.close_connection(previous, false);
         }
     }
 
-    fn call_for_list(&mut self, now: Duration, key: usize, broker: usize) {
-        let Some(link) = self.links.get_mut(&key).filter(|link| !link.watching) else { return };
-        if !link.bytes.windows(4).any(|four| four == b"\r\n\r\n") {
+    /// Answers a broker's call for the list once its request head is complete.
+    fn on_discovery_call(&mut self, now: Duration, key: usize, broker: usize) {
+        let Some(connection) = self.connections.get_mut(&key).filter(|connection| !connection.is_watch)
+        else {
+            return;
+        };
+        if !connection.read_buffer.windows(4).any(|bytes| bytes == b"\r\n\r\n") {
             return;
         }
-        link.bytes.clear();
-        if now < self.silent_until {
-            link.silent = Some(now);
+        connection.read_buffer.clear();
+        if now < self.stalled_until {
+            connection.stalled_since = Some(now);
             return;
         }
-        let turned_away = now < self.turn_away_until;
+        let rejected = now < self.reject_calls_until;
         {
             let mut ledger = lock(&self.ledger);
-            let calls = ledger.calls.entry(now.as_secs()).or_default();
-            calls.came += 1;
-            calls.turned_away += u32::from(turned_away);
+            let calls = ledger.list_calls.entry(now.as_secs()).or_default();
+            calls.received += 1;
+            calls.rejected += u32::from(rejected);
         }
-        if turned_away {
-            self.send(key, b"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-            return self.drop_link(key, false);
+        if rejected {
+            self.queue_bytes(key, b"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+            return self.close_connection(key, false);
         }
-        link.watching = true;
-        self.send(key, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        self.tell_list(now, key, broker);
+        connection.is_watch = true;
+        self.queue_bytes(key, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        self.write_list(now, key, broker);
     }
 
-    fn push(&mut self, now: Duration, version: u64) {
-        if version <= self.shown {
+    /// Publishes a version of the list to agents and live watches, unless a newer one has been published.
+    fn publish_list(&mut self, now: Duration, version: u64) {
+        if version <= self.published {
             return;
         }
-        self.shown = version;
-        self.views = self.views.split_off(&version);
-        (0..self.setting.brokers).for_each(|broker| self.has(now, broker));
-        let watching = self.links.iter().filter(|(_, link)| link.speaks());
-        let watching: Vec<(usize, Which)> = watching.map(|(key, link)| (*key, link.which)).collect();
-        for (key, which) in watching {
-            if let Which::Discovery(broker) = which {
-                self.tell_list(now, key, broker);
+        self.published = version;
+        self.list_versions = self.list_versions.split_off(&version);
+        (0..self.config.brokers).for_each(|broker| self.deliver_to_agent(now, broker));
+        let watching = self.connections.iter().filter(|(_, connection)| connection.is_live_watch());
+        let watching: Vec<(usize, Endpoint)> =
+            watching.map(|(key, connection)| (*key, connection.endpoint)).collect();
+        for (key, endpoint) in watching {
+            if let Endpoint::Discovery(broker) = endpoint {
+                self.write_list(now, key, broker);
             }
         }
     }
 
-    /// What a broker's agent has counts as told, unless it is silent, or a watch of that broker is.
-    fn has(&mut self, now: Duration, broker: usize) {
-        let missed = |link: &Link| {
-            let silent = link.silent.is_some_and(|since| now < since + SILENT_IS_TOLD);
-            link.which == Which::Discovery(broker) && link.watching && silent
+    /// Marks the published list as delivered to a broker's agent where lists are pushed, unless discovery is
+    /// stalled or a watch of that broker has been stalled for less than the delivery deadline.
+    fn deliver_to_agent(&mut self, now: Duration, broker: usize) {
+        let is_undelivered = |connection: &Connection| {
+            let is_stalled = connection.stalled_since.is_some_and(|since| now < since + DELIVERY_DEADLINE);
+            connection.endpoint == Endpoint::Discovery(broker) && connection.is_watch && is_stalled
         };
-        if self.setting.pushed && now >= self.silent_until && !self.links.values().any(missed) {
-            self.tells(now, broker);
+        if self.config.pushed && now >= self.stalled_until && !self.connections.values().any(is_undelivered) {
+            self.mark_delivered(now, broker);
         }
     }
 
-    /// A broker counts as told what the list shows now.
-    fn tells(&mut self, now: Duration, broker: usize) {
-        let Some(view) = self.views.get(&self.shown) else { return };
+    /// Records that a broker knows the published list.
+    fn mark_delivered(&mut self, now: Duration, broker: usize) {
+        let Some(entries) = self.list_versions.get(&self.published) else { return };
         let mut ledger = lock(&self.ledger);
-        for (server, (state, _)) in view.iter().enumerate() {
-            ledger.told(now, broker, server, *state != Listed::Up);
+        for (server, entry) in entries.iter().enumerate() {
+            ledger.set_drain_known(now, broker, server, entry.state != ListedState::Up);
         }
     }
 
-    /// Writes the list as it is shown now to a watch: what is written counts as told.
-    fn tell_list(&mut self, now: Duration, key: usize, broker: usize) {
-        let Some(view) = self.views.get(&self.shown).cloned() else { return };
+    /// Writes the published list to a watch, and marks it as delivered.
+    fn write_list(&mut self, now: Duration, key: usize, broker: usize) {
+        let Some(entries) = self.list_versions.get(&self.published).cloned() else { return };
         let mut endpoints = Vec::new();
-        self.tells(now, broker);
-        for (server, (state, since)) in view.into_iter().enumerate() {
-            let placed = &self.setting.servers[server];
-            let status = match state {
-                Listed::Up => "up",
-                Listed::Draining => "draining",
-                Listed::Gone => continue,
+        self.mark_delivered(now, broker);
+        for (server, entry) in entries.into_iter().enumerate() {
+            let config = &self.config.servers[server];
+            let status = match entry.state {
+                ListedState::Up => "up",
+                ListedState::Draining => "draining",
+                ListedState::Removed => continue,
             };
             let address = self.addresses[broker][server].to_string();
-            endpoints.push(json!({"name": placed.name, "address": address, "zone": placed.zone,
-                "group": placed.cell, "status": status, "weight": 1.0, "since_ms": since}));
+            endpoints.push(json!({"name": config.name, "address": address, "zone": config.zone,
+                "group": config.cell, "status": status, "weight": 1.0, "since_ms": entry.since_ms}));
         }
-        let list = json!({"index": self.shown, "snapshot": true, "endpoints": endpoints});
-        let (text, most) = match self.setting.indented {
-            true => (format!("\n{list:#}\n"), SMALL_CHUNK),
+        let list = json!({"index": self.published, "snapshot": true, "endpoints": endpoints});
+        let (text, max_chunk) = match self.config.indented {
+            true => (format!("\n{list:#}\n"), SMALL_CHUNK_BYTES),
             false => (format!("{list}\n"), usize::MAX),
         };
-        for piece in text.as_bytes().chunks(most) {
+        for piece in text.as_bytes().chunks(max_chunk) {
             let mut chunk = format!("{:x}\r\n", piece.len()).into_bytes();
             chunk.extend_from_slice(piece);
             chunk.extend_from_slice(b"\r\n");
-            self.send(key, &chunk);
+            self.queue_bytes(key, &chunk);
         }
     }
 }
 
-/// A frame with its length before it.
-fn framed(frame: &[u8]) -> Vec<u8> {
+/// Prefixes a frame with its length.
+fn encode_frame(frame: &[u8]) -> Vec<u8> {
     let mut bytes = u32::try_from(frame.len()).unwrap_or(u32::MAX).to_be_bytes().to_vec();
     bytes.extend_from_slice(frame);
     bytes
