--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -448,10 +448,10 @@
         // Adjacent blocks, as a map window requests them.
         let first = self.rng.random_range(0..self.load.blocks);
         let shards = (0..count).map(|n| (first + n) % self.load.blocks).collect();
-        let is_unruly =
+        let is_misbehaving =
             self.load.misbehaving_share > 0.0 && self.rng.random::<f64>() < self.load.misbehaving_share;
         let query = Query {
-            behaviour: if is_unruly {
+            behaviour: if is_misbehaving {
                 ClientBehaviour::misbehaving(&mut self.rng)
             } else {
                 ClientBehaviour::Normal
@@ -526,10 +526,10 @@
         let keyed = class.retry_safety == RetrySafety::Keyed;
         let key = if keyed { format!("Idempotency-Key: {}\r\n", query.key) } else { String::new() };
         let retried = if query.tries > 1 { "X-Retried: 1\r\n" } else { "" };
-        let last = if self.load.pooled { "" } else { "Connection: close\r\n" };
+        let connection = if self.load.pooled { "" } else { "Connection: close\r\n" };
         let request = format!(
             "POST /{} HTTP/1.1\r\nHost: b{broker}\r\nX-Request-ID: {id}\r\nX-Timeout: {}u\r\n{key}{retried}\
-             {last}Content-Length: {}\r\n\r\n{body}",
+             {connection}Content-Length: {}\r\n\r\n{body}",
             class.name,
             left.as_micros().max(1),
             body.len()
@@ -585,13 +585,13 @@
         let now = self.base.elapsed();
         let refusal = broker.map(|broker| Refusal { at: now, broker, status: None });
         self.results.refused.extend(refusal);
-        let again = if broker.is_some() { now } else { now + Duration::from_millis(100) };
+        let retry_at = if broker.is_some() { now } else { now + Duration::from_millis(100) };
         query.not_accepted_by.extend(broker);
         // While no broker is in service, clients retry until their deadline; such retries do not count as
         // tries.
-        if again < query.deadline_at && (broker.is_none() || query.tries < MAX_TRIES) {
+        if retry_at < query.deadline_at && (broker.is_none() || query.tries < MAX_TRIES) {
             query.tries -= u32::from(broker.is_none());
-            self.set_timer(again, Timer::Retry(Box::new(query)));
+            self.set_timer(retry_at, Timer::Retry(Box::new(query)));
         } else {
             self.outcome_counts(&query).refused += 1;
             self.open_queries -= 1;
@@ -665,9 +665,9 @@
             AttemptResult::Answered(Response { status: status @ (429 | 503), retry_after, .. }) => {
                 self.results.refused.push(Refusal { at: now, broker, status: Some(status) });
                 self.outcome_counts(&query).refusals += 1;
-                let again = now + retry_after.unwrap_or(Duration::from_millis(200));
-                if again < query.deadline_at && query.tries < MAX_TRIES {
-                    self.set_timer(again, Timer::Retry(Box::new(query)));
+                let retry_at = now + retry_after.unwrap_or(Duration::from_millis(200));
+                if retry_at < query.deadline_at && query.tries < MAX_TRIES {
+                    self.set_timer(retry_at, Timer::Retry(Box::new(query)));
                     return;
                 }
                 self.outcome_counts(&query).refused += 1;
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -339,19 +339,19 @@
         let Some(clients) = self.clients.take() else {
             return Err(io::Error::other("the clients are not running"));
         };
-        let seen = clients.join()?;
+        let results = clients.join()?;
         self.brokers.iter_mut().for_each(|broker| broker.process = None);
         let cut_spans: Vec<(Duration, Duration)> =
             self.scenario.events.iter().filter_map(frame_cut_span).collect();
         let ledger = self.world.ledger();
         let broken =
-            record::breaches(&ledger, &seen, &self.gathered, schedule, self.clients_start, &cut_spans);
-        let rows = record::rows(&ledger, &seen, &self.gathered, self.clients_start.as_secs());
+            record::breaches(&ledger, &results, &self.gathered, schedule, self.clients_start, &cut_spans);
+        let rows = record::rows(&ledger, &results, &self.gathered, self.clients_start.as_secs());
         let fault_at = schedule.acts.first().map(|(at, _)| at.as_secs_f64());
         let (steady, full_service_s) = record::full_service(&rows, fault_at, self.options.full_service_hold);
         let offered: u32 = rows.iter().map(|row| row.offered).sum();
         let parts: u32 = rows.iter().map(|row| row.parts).sum();
-        let ms = |quantile: f64| seen.times.value_at_quantile(quantile) as f64 / 1e3;
+        let ms = |quantile: f64| results.times.value_at_quantile(quantile) as f64 / 1e3;
         let at = |at: Duration| at.as_secs_f64() - self.clients_start.as_secs_f64();
         let broken = broken.into_iter();
         let used = |broker: &Broker| Used {
@@ -369,7 +369,7 @@
             full_service_s,
             steady,
             times_ms: [ms(0.5), ms(0.99)],
-            lateness_ms: seen.lateness.as_secs_f64() * 1e3,
+            lateness_ms: results.lateness.as_secs_f64() * 1e3,
             attempts_per_part: f64::from(parts) / (f64::from(offered.max(1)) * self.scenario.parts as f64),
             repeated: ledger.reruns_in_window,
             used: self.brokers.iter().map(used).collect(),
@@ -422,7 +422,7 @@
                 }
             }
             Task::SampleUsage => {
-                self.sample();
+                self.sample_usage();
                 let next = Duration::from_secs(self.now().as_secs() + 1);
                 self.schedule(next, Task::SampleUsage);
             }
@@ -525,7 +525,10 @@
         let upgrades =
             self.brokers.iter().any(|broker| broker.successor.is_some() || broker.predecessor.is_some());
         !upgrades
-            && !self.tasks.iter().any(|(_, due)| matches!(due, Task::StartSuccessor(_) | Task::CheckBack(_)))
+            && !self
+                .tasks
+                .iter()
+                .any(|(_, task)| matches!(task, Task::StartSuccessor(_) | Task::CheckBack(_)))
     }
 
     /// The control address of a broker's current process.
@@ -550,6 +553,7 @@
         }
     }
 
+    /// The path of a broker's file in the run's folder.
     fn file(&self, broker: usize, extension: &str) -> PathBuf {
         self.options.dir.join(format!("b{broker}.{extension}"))
     }
@@ -564,14 +568,15 @@
                 .ok_or_else(|| io::Error::other(format!("the brokers' settings have no {path}")))?;
             *target = value.clone();
         }
-        let list = self.links.discovery_addresses[broker][usize::from(state.discovery_moved)];
+        let discovery = self.links.discovery_addresses[broker][usize::from(state.discovery_moved)];
         let mut config = json!({"name": format!("b{broker}"), "seed": format!("{:x}", self.scenario.seed * 1000 + broker as u64 + 1),
-            "discovery": list.to_string(), "settings": settings});
-        if let Some(hears) = self.links.gossip_listen.get(broker) {
-            let at =
-                |other: usize| self.links.gossip_addresses.get(&(broker, other)).unwrap_or(hears).to_string();
-            config["peer_listen"] = hears.to_string().into();
-            config["peers"] = (0..self.scenario.brokers).map(at).collect();
+            "discovery": discovery.to_string(), "settings": settings});
+        if let Some(listen) = self.links.gossip_listen.get(broker) {
+            let peer_address = |other: usize| {
+                self.links.gossip_addresses.get(&(broker, other)).unwrap_or(listen).to_string()
+            };
+            config["peer_listen"] = listen.to_string().into();
+            config["peers"] = (0..self.scenario.brokers).map(peer_address).collect();
         }
         if self.options.has_initial_list {
             let servers = (0..self.scenario.servers).map(|server| {
@@ -596,7 +601,7 @@
         (state.stopping, state.restart_pending, state.starting_since, state.address) =
             (false, false, Some(now), None);
         state.process = Some(process);
-        if !self.tasks.iter().any(|(_, due)| *due == Task::CheckStarting) {
+        if !self.tasks.iter().any(|(_, task)| *task == Task::CheckStarting) {
             self.schedule(now, Task::CheckStarting);
         }
         Ok(())
@@ -686,22 +691,22 @@
                 let failed_to_start = state.starting_since.take().is_some() && !state.stopping;
                 state.failed_starts += u32::from(failed_to_start);
                 let retry = failed_to_start && state.failed_starts <= MAX_START_RETRIES;
-                let ended_badly =
+                let exited_badly =
                     state.restart_pending && !state.killed && !self.options.kill_on_roll && !status.success();
-                if ended_badly && self.scenario.kills_early {
+                if exited_badly && self.scenario.kills_early {
                     let what = format!("b{} exited after SIGTERM with {status}", event.broker);
                     self.gathered.crashed.push((now, what));
                 }
                 state.killed = false;
                 let (run, crashed) = (state.run, !state.stopping && !retry);
-                let again = state.restart_pending || retry;
+                let start_again = state.restart_pending || retry;
                 if crashed {
                     let what = format!("b{} exited unexpectedly: {status}", event.broker);
                     self.gathered.crashed.push((now, what));
                     // The front notices it only after a delay, as after a kill.
                     self.schedule(now + FRONT_DELAY, Task::RemoveFromFront(event.broker, run));
                 }
-                if again {
+                if start_again {
                     self.start(event.broker)?;
                 }
             }
@@ -711,7 +716,8 @@
         Ok(())
     }
 
-    fn sample(&mut self) {
+    /// Samples the processor time and memory of all processes.
+    fn sample_usage(&mut self) {
         let (mut cpu, mut memory) = (0.0, 0.0_f64);
         for broker in &mut self.brokers {
             if let Some(used) = broker.process.as_ref().and_then(Process::resource_usage) {
@@ -723,7 +729,7 @@
             broker.predecessor.iter_mut().for_each(upgrade::Predecessor::sample);
             cpu += broker.ended_cpu
                 + broker.running_cpu
-                + broker.predecessor.as_ref().map_or(0.0, |old| old.cpu);
+                + broker.predecessor.as_ref().map_or(0.0, |old| old.cpu_seconds);
         }
         let second = self.now().as_secs().saturating_sub(1);
         self.gathered.uses.insert(second, ((cpu - self.cpu_before).max(0.0), memory));
--- a/crates/fleet/src/run/upgrade.rs
+++ b/crates/fleet/src/run/upgrade.rs
@@ -32,7 +32,7 @@
     process: Process,
     run: u32,
     /// Its processor time at the last sample, in seconds.
-    pub cpu: f64,
+    pub cpu_seconds: f64,
     killed: bool,
 }
 
@@ -40,7 +40,7 @@
     /// Samples its processor time.
     pub fn sample(&mut self) {
         if let Some(used) = self.process.resource_usage() {
-            self.cpu = used.cpu_seconds;
+            self.cpu_seconds = used.cpu_seconds;
         }
     }
 }
@@ -85,9 +85,9 @@
 
     /// Polls the successor until it is ready or the ready timeout has passed.
     pub(super) fn check_ready(&mut self, broker: usize) {
-        let Some(next) = &self.brokers[broker].successor else { return };
-        let (began, run) = (next.began, next.run);
-        let ready = control::is_ready(self.ports[broker].control[next.control].address());
+        let Some(successor) = &self.brokers[broker].successor else { return };
+        let (began, run) = (successor.began, successor.run);
+        let ready = control::is_ready(self.ports[broker].control[successor.control].address());
         let now = self.now();
         if now.saturating_sub(began) > self.options.ready_timeout {
             // Dropping the successor kills it; the current process continues to serve.
@@ -104,14 +104,15 @@
     /// Makes the successor the broker's current process, and sends SIGTERM to the one that it replaces.
     fn take_over(&mut self, broker: usize, now: Duration) {
         let state = &mut self.brokers[broker];
-        let Some(next) = state.successor.take() else { return };
-        let (old_run, run) = (state.run, next.run);
-        let old = state.process.replace(next.process);
-        (state.run, state.control, state.stopping) = (run, next.control, false);
+        let Some(successor) = state.successor.take() else { return };
+        let (old_run, run) = (state.run, successor.run);
+        let old = state.process.replace(successor.process);
+        (state.run, state.control, state.stopping) = (run, successor.control, false);
         let old_cpu = std::mem::take(&mut state.running_cpu);
         if let Some(process) = old {
             process.signal(Signal::TERM);
-            state.predecessor = Some(Predecessor { process, run: old_run, cpu: old_cpu, killed: false });
+            state.predecessor =
+                Some(Predecessor { process, run: old_run, cpu_seconds: old_cpu, killed: false });
             self.schedule(now + stop_grace(self.scenario), Task::KillPredecessor(broker, old_run));
         }
         self.update_upgrade(broker, run, |upgrade| upgrade.ready = Some(now));
@@ -131,7 +132,7 @@
         let (now, state) = (self.now(), &mut self.brokers[broker]);
         if let Some(mut old) = state.predecessor.take_if(|old| old.run == run) {
             let status = old.process.wait()?;
-            state.ended_cpu += old.cpu;
+            state.ended_cpu += old.cpu_seconds;
             let current = state.run;
             self.update_upgrade(broker, current, |upgrade| {
                 (upgrade.old_ended, upgrade.killed) = (Some(now), old.killed);
@@ -141,8 +142,8 @@
                     .crashed
                     .push((now, format!("b{broker} run {run} exited after SIGTERM with {status}")));
             }
-        } else if let Some(mut next) = state.successor.take_if(|next| next.run == run) {
-            let status = next.process.wait()?;
+        } else if let Some(mut successor) = state.successor.take_if(|next| next.run == run) {
+            let status = successor.process.wait()?;
             let what = format!("b{broker} run {run} exited before it took over: {status}");
             self.record_violation(Rule::NotReady, what);
         }
