--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -26,10 +26,10 @@
 use crate::load::{ClientCommand, Clients, Load};
 use crate::port::ReservedPort;
 use crate::process::{LogEvent, Process, ProcessEvent};
-use crate::proxy::{Builder, Link, Proxy, Rule, Tell as ProxyTell};
-use crate::record::{self, Broken, Gathered, Record, Used};
+use crate::proxy::{Builder, Link, Proxy, ProxyCommand, Rule};
+use crate::record::{self, BrokenRule, BrokerUsage, FleetUsage, Record, RunObservations};
 use crate::scenario::{Fault, Scenario};
-use crate::schedule::{Act, Links, Schedule};
+use crate::schedule::{Action, Links, Schedule, StandInCommand};
 use links::FleetLinks;
 use settings::{
     IDEMPOTENCY_WINDOW, block_count, broker_settings, query_classes, server_config, world_config,
@@ -167,7 +167,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Task {
     /// Applies an act of the schedule.
-    Act(Act),
+    Apply(Action),
     /// Removes a broker from the front, if the given run is still its current one.
     RemoveFromFront(usize, u32),
     /// Kills a broker that was sent SIGTERM, if the given run has not exited.
@@ -204,7 +204,7 @@
     event_sender: Sender<ProcessEvent>,
     events: Receiver<ProcessEvent>,
     tasks: Vec<(Duration, Task)>,
-    gathered: Gathered,
+    gathered: RunObservations,
     /// By broker: connections of clients that send no request.
     idle_clients: Vec<Vec<TcpStream>>,
     /// Processor time of the fleet at the last sample, in seconds.
@@ -258,8 +258,8 @@
     }
     let proxy = builder.start()?;
     // Servers that join later are down at first.
-    let later: Vec<usize> = (scenario.servers..scenario.servers + schedule.later.len()).collect();
-    proxy.tell(ProxyTell::Down(links.select(&Links::Servers(later), scenario)));
+    let later: Vec<usize> = (scenario.servers..scenario.servers + schedule.added_servers.len()).collect();
+    proxy.send(ProxyCommand::Down(links.select(&Links::Servers(later), scenario)));
     let (event_sender, events) = mpsc::channel();
     let brokers = (0..scenario.brokers).map(|_| Broker::default()).collect();
     let ports = (0..scenario.brokers).map(|_| Ports::new()).collect::<Result<_, _>>()?;
@@ -277,7 +277,7 @@
         event_sender,
         events,
         tasks: Vec::new(),
-        gathered: Gathered::default(),
+        gathered: RunObservations::default(),
         idle_clients: (0..scenario.brokers).map(|_| Vec::new()).collect(),
         cpu_before: 0.0,
     };
@@ -307,8 +307,8 @@
         }
         // Clients start on a whole second, so that the rows of all counts cover the same seconds.
         self.clients_start = Duration::from_secs(self.now().as_secs() + 1);
-        for (at, act) in &schedule.acts {
-            self.schedule(*at + self.clients_start, Task::Act(act.clone()));
+        for (at, action) in &schedule.actions {
+            self.schedule(*at + self.clients_start, Task::Apply(action.clone()));
         }
         let mut rng = ChaCha8Rng::seed_from_u64(self.scenario.seed ^ 0xc11e);
         // Weights from 0.5 to 2, so that traffic is spread unevenly.
@@ -331,7 +331,7 @@
             clients.send(ClientCommand::SetBroker(n, broker.address));
         }
         self.clients = Some(clients);
-        let schedule_end = schedule.ends() + self.clients_start;
+        let schedule_end = schedule.end() + self.clients_start;
         let clients_run = |fleet: &Self| fleet.clients.as_ref().is_some_and(|clients| !clients.is_finished());
         while self.now() < schedule_end || clients_run(self) || !self.is_idle() {
             self.step()?;
@@ -345,16 +345,16 @@
             self.scenario.events.iter().filter_map(frame_cut_span).collect();
         let ledger = self.world.ledger();
         let broken =
-            record::breaches(&ledger, &results, &self.gathered, schedule, self.clients_start, &cut_spans);
+            record::violations(&ledger, &results, &self.gathered, schedule, self.clients_start, &cut_spans);
         let rows = record::rows(&ledger, &results, &self.gathered, self.clients_start.as_secs());
-        let fault_at = schedule.acts.first().map(|(at, _)| at.as_secs_f64());
+        let fault_at = schedule.actions.first().map(|(at, _)| at.as_secs_f64());
         let (steady, full_service_s) = record::full_service(&rows, fault_at, self.options.full_service_hold);
         let offered: u32 = rows.iter().map(|row| row.offered).sum();
         let parts: u32 = rows.iter().map(|row| row.parts).sum();
         let ms = |quantile: f64| results.times.value_at_quantile(quantile) as f64 / 1e3;
         let at = |at: Duration| at.as_secs_f64() - self.clients_start.as_secs_f64();
         let broken = broken.into_iter();
-        let used = |broker: &Broker| Used {
+        let used = |broker: &Broker| BrokerUsage {
             starts: broker.starts,
             cpu: broker.ended_cpu + broker.running_cpu,
             memory_mb: broker.memory_mb,
@@ -373,10 +373,10 @@
             attempts_per_part: f64::from(parts) / (f64::from(offered.max(1)) * self.scenario.parts as f64),
             repeated: ledger.reruns_in_window,
             used: self.brokers.iter().map(used).collect(),
-            upgrades: record::upgrades(&self.gathered, self.clients_start),
-            drains: record::drains(&self.gathered, self.clients_start),
+            upgrades: record::upgrade_records(&self.gathered, self.clients_start),
+            drains: record::drain_records(&self.gathered, self.clients_start),
             broken: broken
-                .map(|b| Broken { at: at(b.at), rule: format!("{:?}", b.rule), what: b.details })
+                .map(|b| BrokenRule { at: at(b.at), rule: format!("{:?}", b.rule), what: b.details })
                 .collect(),
             rows,
         };
@@ -404,7 +404,7 @@
 
     fn run_task(&mut self, task: Task) -> io::Result<()> {
         match task {
-            Task::Act(act) => self.apply(act)?,
+            Task::Apply(action) => self.apply(action)?,
             Task::RemoveFromFront(broker, run) => {
                 if self.brokers[broker].run == run {
                     self.set_front(broker, None);
@@ -445,20 +445,20 @@
         Ok(())
     }
 
-    fn apply(&mut self, act: Act) -> io::Result<()> {
-        match act {
-            Act::Kill(broker) => {
+    fn apply(&mut self, action: Action) -> io::Result<()> {
+        match action {
+            Action::Kill(broker) => {
                 (self.brokers[broker].stopping, self.brokers[broker].killed) = (true, true);
                 self.signal(broker, Signal::KILL);
                 let run = self.brokers[broker].run;
                 self.schedule(self.now() + FRONT_DELAY, Task::RemoveFromFront(broker, run));
             }
             // The old process may not have been waited for yet; the start follows once it has.
-            Act::Start(broker) if self.brokers[broker].process.is_some() => {
+            Action::Start(broker) if self.brokers[broker].process.is_some() => {
                 self.brokers[broker].restart_pending = true
             }
-            Act::Start(broker) => self.start(broker)?,
-            Act::Restart(broker) => {
+            Action::Start(broker) => self.start(broker)?,
+            Action::Restart(broker) => {
                 let grace =
                     if self.scenario.kills_early { upgrade::stop_grace(self.scenario) } else { STOP_TIMEOUT };
                 let state = &mut self.brokers[broker];
@@ -471,50 +471,50 @@
                     self.schedule(self.now() + grace, Task::CheckStopped(broker, run));
                 }
             }
-            Act::Hup(broker) => self.signal(broker, Signal::HUP),
-            Act::CrowdComes(broker, clients) => {
+            Action::Hup(broker) => self.signal(broker, Signal::HUP),
+            Action::CrowdComes(broker, clients) => {
                 let address = self.ports[broker].clients.address();
                 self.idle_clients[broker] = idle_clients::connect(address, clients);
             }
-            Act::CrowdLeaves(broker) => self.idle_clients[broker].clear(),
-            Act::Upgrade(broker) => self.upgrade(broker)?,
-            Act::StartDrain(broker) => self.start_drain(broker),
-            Act::StopDrain(broker) => self.stop_drain(broker),
-            Act::Pause(broker) => self.signal(broker, Signal::STOP),
-            Act::Resume(broker) => self.signal(broker, Signal::CONT),
-            Act::DelayWrites(broker, delay) => self.delay_writes(broker, delay)?,
-            Act::Cut(broker) => {
+            Action::CrowdLeaves(broker) => self.idle_clients[broker].clear(),
+            Action::Upgrade(broker) => self.upgrade(broker)?,
+            Action::StartDrain(broker) => self.start_drain(broker),
+            Action::StopDrain(broker) => self.stop_drain(broker),
+            Action::Pause(broker) => self.signal(broker, Signal::STOP),
+            Action::Resume(broker) => self.signal(broker, Signal::CONT),
+            Action::DelayWrites(broker, delay) => self.delay_writes(broker, delay)?,
+            Action::Cut(broker) => {
                 let path = self.file(broker, "state");
                 if path.exists() {
                     let file = fs::File::options().write(true).open(&path)?;
                     file.set_len(file.metadata()?.len() / 2)?;
                 }
             }
-            Act::Wipe(broker) => {
+            Action::Wipe(broker) => {
                 let path = self.file(broker, "state");
                 if path.exists() {
                     fs::remove_file(path)?;
                 }
             }
-            Act::Reload(broker) => {
+            Action::Reload(broker) => {
                 self.brokers[broker].discovery_moved = true;
                 self.write_config(broker)?;
                 self.signal(broker, Signal::HUP);
             }
-            Act::World(WorldCommand::RejectCallsUntil(until)) => {
+            Action::World(StandInCommand(WorldCommand::RejectCallsUntil(until))) => {
                 self.world.send(WorldCommand::RejectCallsUntil(until + self.clients_start));
             }
-            Act::World(WorldCommand::StallDiscoveryUntil(until)) => {
+            Action::World(StandInCommand(WorldCommand::StallDiscoveryUntil(until))) => {
                 self.world.send(WorldCommand::StallDiscoveryUntil(until + self.clients_start));
             }
-            Act::World(command) => self.world.send(command),
-            Act::Server(server, up) => {
+            Action::World(StandInCommand(command)) => self.world.send(command),
+            Action::Server(server, up) => {
                 let links = self.links.select(&Links::Servers(vec![server]), self.scenario);
-                self.proxy.tell(if up { ProxyTell::Up(links) } else { ProxyTell::Down(links) });
+                self.proxy.send(if up { ProxyCommand::Up(links) } else { ProxyCommand::Down(links) });
             }
-            Act::Links(links, rule) => self.set_links(&links, rule),
-            Act::ResetLinks(links) => {
-                self.proxy.tell(ProxyTell::Reset(self.links.select(&links, self.scenario)));
+            Action::Links(links, rule) => self.set_links(&links, rule),
+            Action::ResetLinks(links) => {
+                self.proxy.send(ProxyCommand::Reset(self.links.select(&links, self.scenario)));
             }
         }
         Ok(())
@@ -537,7 +537,7 @@
     }
 
     fn set_links(&self, links: &Links, rule: Rule) {
-        self.proxy.tell(ProxyTell::Set(self.links.select(links, self.scenario), rule));
+        self.proxy.send(ProxyCommand::SetRule(self.links.select(links, self.scenario), rule));
     }
 
     fn signal(&self, broker: usize, signal: Signal) {
@@ -732,7 +732,8 @@
                 + broker.predecessor.as_ref().map_or(0.0, |old| old.cpu_seconds);
         }
         let second = self.now().as_secs().saturating_sub(1);
-        self.gathered.uses.insert(second, ((cpu - self.cpu_before).max(0.0), memory));
+        let cpu_used = (cpu - self.cpu_before).max(0.0);
+        self.gathered.usage.insert(second, FleetUsage { cpu: cpu_used, memory_mb: memory });
         self.cpu_before = cpu;
     }
 }
@@ -740,8 +741,10 @@
 /// The time span in which an event's faults may cut frames, if they may.
 fn frame_cut_span(event: &crate::scenario::Event) -> Option<(Duration, Duration)> {
     match &event.fault {
-        Fault::Network { reset, lasts, .. } if *reset > 0.0 => Some((event.at, event.at + *lasts)),
-        Fault::LoseZone { lasts, .. } | Fault::Partition { lasts, .. } => Some((event.at, event.at + *lasts)),
+        Fault::Network { reset, duration, .. } if *reset > 0.0 => Some((event.at, event.at + *duration)),
+        Fault::LoseZone { duration, .. } | Fault::Partition { duration, .. } => {
+            Some((event.at, event.at + *duration))
+        }
         _ => None,
     }
 }
--- a/crates/fleet/src/run/drain.rs
+++ b/crates/fleet/src/run/drain.rs
@@ -6,8 +6,8 @@
 
 use super::{FRONT_DELAY, Fleet, POLL_INTERVAL, Task};
 use crate::control;
-use crate::record::Drain;
-use crate::scenario::DRAINED_WITHIN;
+use crate::record::ObservedDrain;
+use crate::scenario::DRAIN_TIME_LIMIT;
 
 /// At the check of a drain, the last request to the broker must be at least this long ago.
 const MIN_UNUSED: Duration = Duration::from_secs(2);
@@ -32,9 +32,9 @@
             );
         }
         let run = self.brokers[broker].run;
-        self.gathered.drains.push(Drain { broker, began, ..Drain::default() });
+        self.gathered.drains.push(ObservedDrain { broker, began, ..ObservedDrain::default() });
         self.schedule(began + FRONT_DELAY, Task::RemoveFromFront(broker, run));
-        self.schedule(began + DRAINED_WITHIN, Task::CheckDrain(self.gathered.drains.len() - 1));
+        self.schedule(began + DRAIN_TIME_LIMIT, Task::CheckDrain(self.gathered.drains.len() - 1));
     }
 
     /// Checks that clients no longer use a broker that has had its time to drain.
@@ -50,14 +50,14 @@
         (record.idle, record.unused) = (usage.idle, unused);
         if usage.idle > 0 {
             let what = format!(
-                "{} connections of b{broker} were idle {DRAINED_WITHIN:?} into its drain",
+                "{} connections of b{broker} were idle {DRAIN_TIME_LIMIT:?} into its drain",
                 usage.idle
             );
             self.record_violation(Rule::NotDrained, what);
         }
         if let Some(unused) = unused.filter(|unused| *unused < MIN_UNUSED) {
             let what =
-                format!("b{broker} was sent a request {unused:?} before {DRAINED_WITHIN:?} into its drain");
+                format!("b{broker} was sent a request {unused:?} before {DRAIN_TIME_LIMIT:?} into its drain");
             self.record_violation(Rule::NotDrained, what);
         }
     }
@@ -80,7 +80,7 @@
 
     /// Polls a broker whose drain was stopped until it is up or [`BACK_TIMEOUT`] has passed.
     pub(super) fn check_back(&mut self, drain: usize) {
-        let Drain { broker, stopped, .. } = self.gathered.drains[drain];
+        let ObservedDrain { broker, stopped, .. } = self.gathered.drains[drain];
         let Some(address) = self.brokers[broker].address else { return };
         let up = control::is_up(address);
         let now = self.now();
--- a/crates/fleet/src/run/upgrade.rs
+++ b/crates/fleet/src/run/upgrade.rs
@@ -11,7 +11,7 @@
 use super::{Fleet, POLL_INTERVAL, Task};
 use crate::control;
 use crate::process::Process;
-use crate::record::Upgrade;
+use crate::record::ObservedUpgrade;
 use crate::scenario::Scenario;
 
 /// The predecessor has at least this time to exit after SIGTERM, plus [`KILL_MARGIN`].
@@ -78,7 +78,13 @@
         let process = self.spawn(broker, run, control)?;
         let old_run = self.brokers[broker].run;
         self.brokers[broker].successor = Some(Successor { process, run, control, began });
-        self.gathered.upgrades.push(Upgrade { broker, began, old_run, run, ..Upgrade::default() });
+        self.gathered.upgrades.push(ObservedUpgrade {
+            broker,
+            began,
+            old_run,
+            run,
+            ..ObservedUpgrade::default()
+        });
         self.schedule(began + POLL_INTERVAL, Task::CheckReady(broker));
         Ok(())
     }
@@ -151,7 +157,7 @@
     }
 
     /// Updates the record of the upgrade to the given run.
-    fn update_upgrade(&mut self, broker: usize, run: u32, update: impl FnOnce(&mut Upgrade)) {
+    fn update_upgrade(&mut self, broker: usize, run: u32, update: impl FnOnce(&mut ObservedUpgrade)) {
         let mut upgrades = self.gathered.upgrades.iter_mut();
         if let Some(upgrade) = upgrades.find(|upgrade| upgrade.broker == broker && upgrade.run == run) {
             update(upgrade);
@@ -161,6 +167,6 @@
     /// Records a violation of a rule that the harness itself has observed.
     pub(super) fn record_violation(&mut self, rule: Rule, what: String) {
         let at = self.now();
-        self.gathered.broken.push(Violation { at, rule, details: what });
+        self.gathered.violations.push(Violation { at, rule, details: what });
     }
 }
--- a/tests/fleet/soak.rs
+++ b/tests/fleet/soak.rs
@@ -13,11 +13,16 @@
     let dir = std::env::temp_dir().join(format!("badgergauge-soak-{}-{seed}", std::process::id()));
     let options = Options::new(Path::new(env!("CARGO_BIN_EXE_badgergauge")), &dir, "soak");
     let permit = FleetPermit::acquire();
-    let outcome = soak::play(seed, &options).expect("the harness works");
+    let outcome = soak::run(seed, &options).expect("the harness works");
     drop(permit);
     let _ = std::fs::remove_dir_all(&dir);
     let late = outcome.record.lateness_ms;
-    assert!(outcome.broken.is_empty(), "{:?}, {late} ms late\n{}", outcome.broken, outcome.drawn.text);
+    assert!(
+        outcome.unexplained.is_empty(),
+        "{:?}, {late} ms late\n{}",
+        outcome.unexplained,
+        outcome.scenario.text
+    );
 }
 
 /// Defines a test for each seed.
