--- a/crates/fleet/src/load/answer.rs
+++ b/crates/fleet/src/load/answer.rs
@@ -140,14 +140,14 @@
     fn a_response_is_parsed_once_it_is_complete() {
         let text = b"HTTP/1.1 503 Busy\r\nRetry-After: 0.25\r\nContent-Length: 4\r\n\r\nbusy";
         for end in 0..text.len() {
-            assert_eq!(parse_response(&text[..end]).expect("sound so far"), None, "{end}");
+            assert_eq!(parse_response(&text[..end]).expect("valid so far"), None, "{end}");
         }
-        let whole = parse_response(text).expect("sound").expect("whole");
+        let response = parse_response(text).expect("valid").expect("complete");
         let retry_after = Some(Duration::from_millis(250));
         let busy = Response { status: 503, retry_after, body: b"busy".to_vec(), keep_alive: true };
-        assert_eq!(whole, busy);
+        assert_eq!(response, busy);
         let closing = b"HTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 0\r\n\r\n";
-        assert!(!parse_response(closing).expect("sound").expect("whole").keep_alive);
+        assert!(!parse_response(closing).expect("valid").expect("complete").keep_alive);
         assert!(parse_response(b"nonsense\r\n\r\n").is_err());
     }
 }
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -74,8 +74,8 @@
     /// Whether a broker starts with the server list as it was at the run's start, as on the platform;
     /// otherwise it knows no server until discovery has sent a list.
     pub has_initial_list: bool,
-    /// A server's drain that a broker was told of binds that broker across a restart as well, since it has a
-    /// store; on the platform it does not.
+    /// Whether a broker must respect server drains that it learnt of before a restart, as one with a store can;
+    /// the platform does not require it.
     pub drains_persist: bool,
     /// A broker that is not up within this time has failed to start.
     pub start_timeout: Duration,
@@ -703,7 +703,7 @@
                 if crashed {
                     let what = format!("b{} exited unexpectedly: {status}", event.broker);
                     self.gathered.crashed.push((now, what));
-                    // The front notices it only after a delay, as after a kill.
+                    // The front notices the exit only after a delay, as after a kill.
                     self.schedule(now + FRONT_DELAY, Task::RemoveFromFront(event.broker, run));
                 }
                 if start_again {
