--- a/crates/fleet/src/proxy.rs
+++ b/crates/fleet/src/proxy.rs
@@ -15,7 +15,7 @@
 use rand_chacha::ChaCha8Rng;
 use socket2::{Domain, SockRef, Socket, Type};
 
-use crate::port::{HeldPort, stop_listening};
+use crate::port::{ReservedPort, shut_down_listener};
 
 /// Bytes buffered for one direction of a connection above which no more is read from its sender.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024;
@@ -89,7 +89,7 @@
 
 enum Route {
     Tcp {
-        port: HeldPort,
+        port: ReservedPort,
         listener: Option<TcpListener>,
         to: SocketAddr,
     },
@@ -102,7 +102,7 @@
     },
 }
 
-/// Opens a listener at an address that a [`HeldPort`] keeps bound, so that no other process gets the port
+/// Opens a listener at an address that a [`ReservedPort`] keeps bound, so that no other process gets the port
 /// while nothing listens there.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
@@ -125,7 +125,7 @@
     ///
     /// When no loopback port is free.
     pub fn tcp(&mut self, to: SocketAddr) -> io::Result<(Link, SocketAddr)> {
-        let port = HeldPort::new()?;
+        let port = ReservedPort::new()?;
         let address = port.address();
         let listener = Some(listen(address)?);
         self.routes.push(Route::Tcp { port, listener, to });
@@ -346,7 +346,7 @@
             && let Some(listener) = listener.take()
         {
             self.poll.remove(&listener);
-            stop_listening(listener);
+            shut_down_listener(listener);
         }
         self.reset_connections(link);
     }
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -10,7 +10,7 @@
 use badgergauge_standin::ledger::{Ledger, Rule, Violation};
 use serde::{Deserialize, Serialize};
 
-use crate::load::{Fates, Refusal, Seen};
+use crate::load::{ClientResults, OutcomeCounts, Refusal};
 use crate::schedule::{Action, Schedule};
 
 /// Service counts as full again from this share of the steady one on.
@@ -280,7 +280,7 @@
 
 /// Requests and connections that brokers refused after the start of their first upgrade or drain. Brokers
 /// that the schedule also kills or restarts are left out, as they may refuse some.
-fn refusals(seen: &Seen, schedule: &Schedule, offset: Duration) -> Vec<Violation> {
+fn refusals(seen: &ClientResults, schedule: &Schedule, offset: Duration) -> Vec<Violation> {
     let seamless_from = |broker: usize| {
         let ends = |action: &Action| matches!(action, Action::Kill(b) | Action::Restart(b) if *b == broker);
         let seamless =
@@ -307,7 +307,7 @@
 /// network may truncate frames.
 pub fn violations(
     ledger: &Ledger,
-    seen: &Seen,
+    seen: &ClientResults,
     observations: &RunObservations,
     schedule: &Schedule,
     offset: Duration,
@@ -351,7 +351,7 @@
         let violation = Violation { at: lost.ended, rule: Rule::NoAnswer, details };
         if lost.closed { closed.push(violation) } else { found.push(violation) }
     }
-    let offered: u32 = seen.fates.values().map(|fates| fates.offered).sum();
+    let offered: u32 = seen.outcomes.values().map(|fates| fates.offered).sum();
     // Upgrades and drains must not close any request.
     if schedule.is_seamless() || closed.len() * REQUESTS_PER_CLOSED > offered as usize {
         found.append(&mut closed);
@@ -375,10 +375,10 @@
 }
 
 /// The counters by second, numbered from the clients' start, which was at second `offset`.
-pub fn rows(ledger: &Ledger, seen: &Seen, observations: &RunObservations, offset: u64) -> Vec<Row> {
+pub fn rows(ledger: &Ledger, seen: &ClientResults, observations: &RunObservations, offset: u64) -> Vec<Row> {
     let mut rows: BTreeMap<u64, Row> = BTreeMap::new();
-    for (second, fates) in &seen.fates {
-        let Fates {
+    for (second, outcomes) in &seen.outcomes {
+        let OutcomeCounts {
             offered,
             in_time,
             late,
@@ -390,7 +390,7 @@
             refusals,
             not_taken,
             left,
-        } = *fates;
+        } = *outcomes;
         let row = Row {
             offered,
             in_time,
@@ -465,18 +465,18 @@
 
     const S: Duration = Duration::from_secs(1);
 
-    fn seen(unanswered: Vec<Unanswered>) -> Seen {
+    fn seen(unanswered: Vec<Unanswered>) -> ClientResults {
         let times = hdrhistogram::Histogram::new(3).expect("valid precision");
-        let fates = BTreeMap::from([(0, Fates { offered: 300, ..Fates::default() })]);
+        let outcomes = BTreeMap::from([(0, OutcomeCounts { offered: 300, ..OutcomeCounts::default() })]);
         let (refused, wrong) = (Vec::new(), Vec::new());
-        Seen { fates, times, unanswered, refused, wrong, lateness: Duration::ZERO }
+        ClientResults { outcomes, times, unanswered, refused, wrong, lateness: Duration::ZERO }
     }
 
     fn lost(broker: usize, sent: Duration, ended: Duration, closed: bool) -> Unanswered {
         Unanswered { id: format!("b{broker}-1"), broker, sent, ended, closed }
     }
 
-    fn violated_rules(ledger: &Ledger, seen: &Seen) -> Vec<Rule> {
+    fn violated_rules(ledger: &Ledger, seen: &ClientResults) -> Vec<Rule> {
         let schedule = Schedule { actions: vec![(S * 10, Action::Kill(1))], added_servers: Vec::new() };
         let observations = RunObservations::default();
         let all = violations(ledger, seen, &observations, &schedule, S, &[(S * 20, S * 22)]);
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use badgergauge_fleet::load::{Class, Clients, Effect, Load, Seen, Tell as ClientCommand};
+use badgergauge_fleet::load::{Class, ClientCommand, ClientResults, Clients, Load, RetrySafety};
 use badgergauge_fleet::proxy::{Builder, Link, Proxy, ProxyCommand, Rule};
 use badgergauge_standin::ledger::Rule as ViolatedRule;
 use badgergauge_standin::model::{Behaviour, ServerParameters};
@@ -314,12 +314,12 @@
 }
 
 /// What clients observe of a broker that handles each connection with `broker`.
-fn observe(broker: impl Fn(TcpStream) + Send + 'static) -> Seen {
+fn observe(broker: impl Fn(TcpStream) + Send + 'static) -> ClientResults {
     observe_with_pooling(false, broker)
 }
 
 /// The same, with clients that may reuse connections.
-fn observe_with_pooling(pooled: bool, broker: impl Fn(TcpStream) + Send + 'static) -> Seen {
+fn observe_with_pooling(pooled: bool, broker: impl Fn(TcpStream) + Send + 'static) -> ClientResults {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let at = listener.local_addr().expect("bound");
     thread::spawn(move || listener.incoming().flatten().for_each(broker));
@@ -327,8 +327,8 @@
         name: "c".into(),
         aim: Duration::from_millis(100),
         deadline: Duration::from_millis(200),
-        effect: Effect::Keyed,
-        least: 1.0,
+        retry_safety: RetrySafety::Keyed,
+        min_share: 1.0,
         share: 1.0,
     };
     let load = Load {
@@ -337,15 +337,15 @@
         parts: 2,
         blocks: 4,
         classes: vec![class],
-        from: Duration::from_millis(50),
-        lasts: Duration::from_millis(100),
+        start: Duration::from_millis(50),
+        duration: Duration::from_millis(100),
         seed: 1,
         pooled,
-        unruly: 0.0,
+        misbehaving_share: 0.0,
     };
     let clients = Clients::start(load, Instant::now()).expect("starts");
-    clients.tell(ClientCommand::Front(0, Some(at)));
-    clients.seen().expect("all queries have ended")
+    clients.send(ClientCommand::SetBroker(0, Some(at)));
+    clients.join().expect("all queries have ended")
 }
 
 /// Reads a request, responds with `answer` and closes the connection.
@@ -368,7 +368,7 @@
 #[test]
 fn clients_detect_missing_and_wrong_answers() {
     let silent = observe(std::mem::forget);
-    let offered: u32 = silent.fates.values().map(|fates| fates.offered).sum();
+    let offered: u32 = silent.outcomes.values().map(|fates| fates.offered).sum();
     assert!(offered > 0);
     assert!(silent.unanswered.len() as u32 == offered && silent.unanswered.iter().all(|lost| !lost.closed));
     let closing = observe(|mut stream| {
@@ -382,7 +382,11 @@
         "{\"full\":true,\"pieces\":[{\"tablet\":0,\"cell\":\"invented\"},{\"tablet\":1,\"cell\":\"invented\"}]}",
     ] {
         let seen = observe(move |stream| respond_once(stream, wrong));
-        assert_eq!(seen.wrong.len() as u32, seen.fates.values().map(|f| f.offered).sum::<u32>(), "{wrong}");
+        assert_eq!(
+            seen.wrong.len() as u32,
+            seen.outcomes.values().map(|f| f.offered).sum::<u32>(),
+            "{wrong}"
+        );
     }
 }
 
@@ -396,7 +400,7 @@
         counter.fetch_add(1, Ordering::Relaxed);
         thread::spawn(move || while respond_next(&stream, "{}") {});
     });
-    let offered: u32 = kept.fates.values().map(|fates| fates.offered).sum();
+    let offered: u32 = kept.outcomes.values().map(|fates| fates.offered).sum();
     assert!(offered > 1 && kept.unanswered.is_empty(), "{offered} queries, {:?}", kept.unanswered);
     let used = connections.load(Ordering::Relaxed);
     assert!(used < offered, "{used} connections for {offered} queries");
@@ -406,6 +410,6 @@
             let _ = (&stream).read(&mut [0; 4096]);
         });
     });
-    let closed: u32 = closing.fates.values().map(|fates| fates.closed).sum();
+    let closed: u32 = closing.outcomes.values().map(|fates| fates.closed).sum();
     assert!(closed > 0 && closed as usize == closing.unanswered.len(), "{closed} closed");
 }
