--- a/tests/crossings/stage.rs
+++ b/tests/crossings/harness.rs
@@ -1,4 +1,4 @@
-//! A broker on a stage of stand-ins that hold a moment until the test lets it go: connections that come up when they
+//! A broker on a harness of stand-ins that hold a moment until the test lets it go: connections that come up when they
 //! are let in, frames and lists that are written when the test says so, and the broker itself held by SIGSTOP while
 //! bytes are put into its sockets. No order is left to chance, and nothing sleeps to make it likely.
 
@@ -19,7 +19,7 @@
 use crate::program;
 
 /// Long after anything that works has happened; no verdict hangs on it.
-pub const HANGS: Duration = Duration::from_secs(20);
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a signal to the test's own process, as that of a child's end is, interrupts is done again.
 fn again<T>(mut call: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
@@ -63,11 +63,11 @@
 }
 
 /// Waits until all that was written is with the other side's system, whether its process runs or not.
-pub fn delivered(stream: &TcpStream) {
+pub fn wait_until_delivered(stream: &TcpStream) {
     let near = stream.local_addr().expect("bound").port();
     let far = stream.peer_addr().expect("connected").port();
     let open = |line: &Line| line.near == near && line.far == far && line.unsent > 0;
-    until("it is not delivered", || !sockets().any(|line| open(&line)));
+    wait_until("it is not delivered", || !sockets().any(|line| open(&line)));
 }
 
 /// Closes a connection, and waits until the other side's system knows.
@@ -75,13 +75,13 @@
     let near = stream.local_addr().expect("bound").port();
     let far = stream.peer_addr().map_or(0, |far| far.port());
     drop(stream);
-    until("the end does not arrive", || {
+    wait_until("the end does not arrive", || {
         !sockets().any(|line| (line.near, line.far, line.state) == (far, near, UP))
     });
 }
 
 /// A stand-in tile server.
-pub struct Tile {
+pub struct TileServer {
     listener: Socket,
     pub address: SocketAddr,
     /// Connections that fill the queue of those to be accepted, so that further ones don't come up, and the ports of
@@ -90,72 +90,72 @@
     own: Vec<u16>,
 }
 
-impl Tile {
+impl TileServer {
     fn new() -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
         listener.listen(128).expect("listens");
         let address = listener.local_addr().expect("bound").as_socket().expect("of the internet");
-        Tile { listener, address, fillers: Vec::new(), own: Vec::new() }
+        TileServer { listener, address, fillers: Vec::new(), own: Vec::new() }
     }
 
     /// From now on connections don't come up: the system drops their first packets, as the one place in the queue of
     /// those to be accepted is taken.
-    pub fn hold(&mut self) {
+    pub fn block_connects(&mut self) {
         self.listener.listen(0).expect("listens");
         let filler = TcpStream::connect(self.address).expect("the one place is free");
         self.own.push(filler.local_addr().expect("bound").port());
         self.fillers.push(filler);
     }
 
-    /// Waits until another one than the stage's own knocks in vain.
-    pub fn knocked(&self) {
+    /// Waits until another one than the harness's own knocks in vain.
+    pub fn wait_for_connect_attempt(&self) {
         let port = self.address.port();
         let knocks = |s: &Line| s.far == port && s.state == BEGUN && !self.own.contains(&s.near);
-        until("nobody knocks", || sockets().any(|socket| knocks(&socket)));
+        wait_until("nobody knocks", || sockets().any(|socket| knocks(&socket)));
     }
 
     /// Lets those in that knock: what was dropped is sent again by their system.
-    pub fn let_in(&mut self) {
+    pub fn allow_connects(&mut self) {
         self.listener.listen(128).expect("listens");
         self.fillers.clear();
     }
 
     /// A connection that has come, if there is one.
-    pub fn try_accept(&self) -> Option<Link> {
+    pub fn try_accept(&self) -> Option<ServerConnection> {
         self.listener.set_nonblocking(true).expect("set");
         let stream = TcpStream::from(self.listener.accept().ok()?.0);
         stream.set_nonblocking(false).expect("set");
-        stream.set_read_timeout(Some(HANGS)).expect("set");
-        Some(Link { stream, bytes: Vec::new() })
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
+        Some(ServerConnection { stream, bytes: Vec::new() })
     }
 
-    /// The next connection: the stage's own are passed over.
-    pub fn accept(&self) -> Link {
+    /// The next connection: the harness's own are passed over.
+    pub fn accept(&self) -> ServerConnection {
         self.listener.set_nonblocking(false).expect("set");
-        SockRef::from(&self.listener).set_read_timeout(Some(HANGS)).expect("set");
+        SockRef::from(&self.listener).set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
         loop {
             let (stream, _) = again(|| self.listener.accept()).expect("a connection comes");
             let stream = TcpStream::from(stream);
-            stream.set_read_timeout(Some(HANGS)).expect("set");
+            stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
             if !self.own.contains(&stream.peer_addr().map_or(0, |far| far.port())) {
-                return Link { stream, bytes: Vec::new() };
+                return ServerConnection { stream, bytes: Vec::new() };
             }
         }
     }
 }
 
 /// A connection of the broker's at a stand-in.
-pub struct Link {
+pub struct ServerConnection {
     pub stream: TcpStream,
     bytes: Vec<u8>,
 }
 
-impl Link {
+impl ServerConnection {
     /// The next frame, without its length. Probes, which a broker sends that was held for long, are answered.
-    pub fn frame(&mut self) -> String {
+    pub fn next_frame(&mut self) -> String {
         loop {
-            let frame = self.any_frame();
+            let frame = self.read_frame();
             if frame != "p" {
                 return frame;
             }
@@ -164,14 +164,14 @@
     }
 
     /// Whether anything has come that was not read, without waiting.
-    pub fn has_come(&self) -> bool {
+    pub fn has_input(&self) -> bool {
         self.stream.set_nonblocking(true).expect("set");
         let peeked = self.stream.peek(&mut [0; 1]);
         self.stream.set_nonblocking(false).expect("set");
         peeked.is_ok_and(|count| count > 0)
     }
 
-    fn any_frame(&mut self) -> String {
+    fn read_frame(&mut self) -> String {
         loop {
             if let Some((head, rest)) = self.bytes.split_first_chunk::<4>() {
                 let length = u32::from_be_bytes(*head) as usize;
@@ -189,8 +189,8 @@
     }
 
     /// The id of the part that the next frame asks for.
-    pub fn part(&mut self) -> String {
-        let frame = self.frame();
+    pub fn next_part(&mut self) -> String {
+        let frame = self.next_frame();
         assert!(frame.starts_with('q'), "{frame:?} asks for no part");
         frame[1..].split(' ').next().expect("an id").to_owned()
     }
@@ -206,8 +206,8 @@
     }
 
     /// Waits until the broker's system has all that was sent.
-    pub fn delivered(&self) {
-        delivered(&self.stream);
+    pub fn wait_until_delivered(&self) {
+        wait_until_delivered(&self.stream);
     }
 
     /// Ends the connection by a reset.
@@ -222,7 +222,7 @@
     }
 
     /// Waits for the broker's end of the connection.
-    pub fn ends(mut self) {
+    pub fn expect_closed(mut self) {
         let mut buffer = [0; 4096];
         loop {
             match read(&mut self.stream, &mut buffer) {
@@ -242,7 +242,7 @@
 }
 
 /// What a watch's answer begins with.
-pub const WATCH: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const WATCH_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 impl Discovery {
     pub fn new() -> Self {
@@ -252,11 +252,11 @@
     }
 
     /// The next call, read whole.
-    pub fn call(&self) -> Call {
-        SockRef::from(&self.listener).set_read_timeout(Some(HANGS)).expect("set");
+    pub fn accept_call(&self) -> DiscoveryCall {
+        SockRef::from(&self.listener).set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
         loop {
             let (mut stream, _) = again(|| self.listener.accept()).expect("it calls");
-            stream.set_read_timeout(Some(HANGS)).expect("set");
+            stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
             let (mut head, mut byte) = (Vec::new(), [0]);
             while !head.ends_with(b"\r\n\r\n") && read(&mut stream, &mut byte).is_ok_and(|read| read > 0) {
                 head.push(byte[0]);
@@ -266,36 +266,36 @@
             let over = matches!(stream.peek(&mut [0]), Ok(0));
             stream.set_nonblocking(false).expect("set");
             if head.ends_with(b"\r\n\r\n") && !over {
-                return Call { stream, head: String::from_utf8(head).expect("text") };
+                return DiscoveryCall { stream, head: String::from_utf8(head).expect("text") };
             }
         }
     }
 }
 
 /// A call for the list.
-pub struct Call {
+pub struct DiscoveryCall {
     pub stream: TcpStream,
     pub head: String,
 }
 
-impl Call {
-    pub fn raw(&mut self, bytes: &str) {
+impl DiscoveryCall {
+    pub fn write_raw(&mut self, bytes: &str) {
         self.stream.write_all(bytes.as_bytes()).expect("written");
     }
 
     /// Answers with a watch.
-    pub fn open(&mut self) {
-        self.raw(WATCH);
+    pub fn start_watch(&mut self) {
+        self.write_raw(WATCH_RESPONSE_HEAD);
     }
 
     /// A list on an open watch.
-    pub fn list(&mut self, list: &Value) {
+    pub fn send_list(&mut self, list: &Value) {
         let line = format!("{list}\n");
-        self.raw(&format!("{:x}\r\n{line}\r\n", line.len()));
+        self.write_raw(&format!("{:x}\r\n{line}\r\n", line.len()));
     }
 
     /// Whether the broker has ended the call, without waiting.
-    pub fn is_over(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         self.stream.set_nonblocking(true).expect("set");
         let read = self.stream.read(&mut [0; 64]);
         self.stream.set_nonblocking(false).expect("set");
@@ -310,14 +310,14 @@
 }
 
 /// The status that an answer's head begins with.
-fn status(head: &str) -> u16 {
+fn parse_status(head: &str) -> u16 {
     head.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or_else(|| panic!("{head}"))
 }
 
 impl Client {
     fn connect(address: &str) -> Self {
         let stream = TcpStream::connect(address).expect("listens");
-        stream.set_read_timeout(Some(HANGS)).expect("set");
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
         stream.set_nodelay(true).expect("set");
         Client { stream, bytes: VecDeque::new() }
     }
@@ -327,12 +327,12 @@
     }
 
     /// Asks for one part of a shard.
-    pub fn ask(&mut self, class: &str, id: &str, shard: u32) {
+    pub fn send_query(&mut self, class: &str, id: &str, shard: u32) {
         self.send(&request(class, id, &[shard], 50_000));
     }
 
     /// The next answer, whole: its head and its body.
-    pub fn answer(&mut self) -> (String, String) {
+    pub fn read_response(&mut self) -> (String, String) {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             head.push(self.byte());
@@ -344,9 +344,9 @@
     }
 
     /// The status of the next answer.
-    pub fn status(&mut self) -> u16 {
-        let (head, _) = self.answer();
-        status(&head)
+    pub fn read_status(&mut self) -> u16 {
+        let (head, _) = self.read_response();
+        parse_status(&head)
     }
 
     fn byte(&mut self) -> u8 {
@@ -360,7 +360,7 @@
     }
 
     /// Waits for the connection's end, which is to come as one, not as a reset.
-    pub fn ends(&mut self) {
+    pub fn expect_eof(&mut self) {
         assert!(self.bytes.is_empty(), "more came");
         match read(&mut self.stream, &mut [0; 1]) {
             Ok(0) => {}
@@ -396,16 +396,16 @@
 }
 
 /// A line of a list.
-pub fn line(name: &str, at: SocketAddr, cell: u32, status: &str) -> Value {
+pub fn server_entry(name: &str, at: SocketAddr, cell: u32, status: &str) -> Value {
     json!({"name": name, "address": at.to_string(), "zone": "z", "type": "m", "group": cell, "status": status,
         "weight": 1.0, "since_ms": 0})
 }
 
 /// Waits for what must come. It looks again and again, as nothing tells of it.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < HANGS, "{what}");
+        assert!(begun.elapsed() < HANG_TIMEOUT, "{what}");
         thread::yield_now();
     }
 }
@@ -419,24 +419,24 @@
 }
 
 /// A broker with its stand-ins.
-pub struct Stage {
+pub struct Harness {
     dir: PathBuf,
     pub config: Value,
     pub discovery: Discovery,
-    pub tiles: Vec<Tile>,
+    pub servers: Vec<TileServer>,
     program: Option<Child>,
     log: Option<Receiver<String>>,
     address: String,
     /// Whether the broker listens to operators, and where.
-    pub is_operated: bool,
+    pub has_control: bool,
     control_address: String,
     /// What the broker's shell is told before it starts it.
-    pub limits: &'static str,
+    pub shell_prelude: &'static str,
     /// Whether writes of the broker's that give a part up can be held: see `hold_give_ups`.
-    pub holds_writes: bool,
+    pub can_delay_writes: bool,
 }
 
-impl Drop for Stage {
+impl Drop for Harness {
     fn drop(&mut self) {
         if let Some(mut program) = self.program.take() {
             let _ = program.kill();
@@ -446,32 +446,32 @@
     }
 }
 
-impl Stage {
-    /// A stage with so many tile servers, each known as that of its cell, and a broker that has not started.
-    pub fn new(name: &str, tiles: usize) -> Self {
+impl Harness {
+    /// A harness with so many tile servers, each known as that of its cell, and a broker that has not started.
+    pub fn new(name: &str, servers: usize) -> Self {
         let dir = std::env::temp_dir().join(format!("badgergauge-crossing-{}-{name}", std::process::id()));
         fs::create_dir_all(&dir).expect("a folder");
-        let tiles: Vec<Tile> = (0..tiles).map(|_| Tile::new()).collect();
-        let addresses: Vec<String> = tiles.iter().map(|tile| tile.address.to_string()).collect();
+        let servers: Vec<TileServer> = (0..servers).map(|_| TileServer::new()).collect();
+        let addresses: Vec<String> = servers.iter().map(|server| server.address.to_string()).collect();
         let mut config = program::config(&addresses);
-        config["settings"]["extra"]["sets"] = json!(tiles.len());
-        Stage {
+        config["settings"]["extra"]["sets"] = json!(servers.len());
+        Harness {
             dir,
             config,
             discovery: Discovery::new(),
-            tiles,
+            servers,
             program: None,
             log: None,
             address: String::new(),
-            is_operated: false,
+            has_control: false,
             control_address: String::new(),
-            limits: "",
-            holds_writes: false,
+            shell_prelude: "",
+            can_delay_writes: false,
         }
     }
 
     /// Sets a value of the configuration.
-    pub fn set(&mut self, pointer: &str, value: Value) {
+    pub fn set_config(&mut self, pointer: &str, value: Value) {
         let (parent, key) = pointer.rsplit_once('/').expect("a path");
         let parent = self.config.pointer_mut(parent).unwrap_or_else(|| panic!("no {pointer}"));
         match parent {
@@ -481,27 +481,27 @@
     }
 
     /// Sets a value of each class.
-    pub fn set_classes(&mut self, key: &str, value: &Value) {
+    pub fn set_class_option(&mut self, key: &str, value: &Value) {
         for class in self.config["settings"]["profiles"].as_array_mut().expect("a list") {
             class[key] = value.clone();
         }
     }
 
     /// The first connection that comes to one of two tile servers, and the number of the other one.
-    pub fn first_of_two(&self) -> (Link, usize) {
+    pub fn first_of_two(&self) -> (ServerConnection, usize) {
         let mut first = None;
-        until("no connection comes", || {
-            first = (0..2).find_map(|tile| Some((self.tiles[tile].try_accept()?, 1 - tile)));
+        wait_until("no connection comes", || {
+            first = (0..2).find_map(|server| Some((self.servers[server].try_accept()?, 1 - server)));
             first.is_some()
         });
         first.expect("there")
     }
 
     /// A list with all tile servers, one of them in another state.
-    pub fn list(&self, index: u64, changed: usize, status: &str) -> Value {
+    pub fn server_list(&self, index: u64, changed: usize, status: &str) -> Value {
         let state = |cell: usize| if cell == changed { status } else { "up" };
-        let lines = self.tiles.iter().enumerate().map(|(cell, tile)| {
-            line(&format!("s{cell}"), tile.address, u32::try_from(cell).expect("few"), state(cell))
+        let lines = self.servers.iter().enumerate().map(|(cell, server)| {
+            server_entry(&format!("s{cell}"), server.address, u32::try_from(cell).expect("few"), state(cell))
         });
         json!({"index": index, "snapshot": true, "endpoints": lines.collect::<Vec<_>>()})
     }
@@ -513,15 +513,15 @@
         let real = env!("CARGO_BIN_EXE_badgergauge");
         let mut command = Command::new("/bin/sh");
         command
-            .args(["-c", &format!("{} exec \"$0\"", self.limits), real])
+            .args(["-c", &format!("{} exec \"$0\"", self.shell_prelude), real])
             .env("BALANCER_CONFIG", file)
             .env("BALANCER_LISTEN", "127.0.0.1:0")
             .env("BALANCER_DISCOVERY", self.discovery.address.to_string())
             .stderr(Stdio::piped());
-        if self.is_operated {
+        if self.has_control {
             command.env("BALANCER_CONTROL", "127.0.0.1:0");
         }
-        if self.holds_writes {
+        if self.can_delay_writes {
             command.env("LD_PRELOAD", write_delay()).env("BADGERGAUGE_WRITE_DELAY", self.dir.join("delay"));
         }
         let mut program = command.spawn().expect("starts");
@@ -537,47 +537,47 @@
             }
         });
         (self.program, self.log) = (Some(program), Some(receiver));
-        if self.is_operated {
+        if self.has_control {
             self.control_address = self.logged_address(" listens to operators on ");
         }
     }
 
     /// Waits for the line of the log that ends with an address behind these words.
     fn logged_address(&self, words: &str) -> String {
-        let line = self.log(words);
+        let line = self.wait_for_log(words);
         line.rsplit(' ').next().expect("an address").to_owned()
     }
 
     /// Starts the broker and waits until clients may come.
     pub fn start(&mut self) {
         self.spawn();
-        self.started();
+        self.wait_until_listening();
     }
 
     /// Waits until clients may come to a broker that was spawned.
-    pub fn started(&mut self) {
+    pub fn wait_until_listening(&mut self) {
         self.address = self.logged_address(" listens to clients on ");
     }
 
     /// A connection to the control endpoint.
-    pub fn operator(&self) -> Client {
+    pub fn control_client(&self) -> Client {
         Client::connect(&self.control_address)
     }
 
     /// A call to the control endpoint: the status and the body of its answer.
-    pub fn operate(&self, method: &str, path: &str) -> (u16, String) {
-        let mut operator = self.operator();
+    pub fn control_request(&self, method: &str, path: &str) -> (u16, String) {
+        let mut operator = self.control_client();
         operator.send(&format!("{method} {path} HTTP/1.1\r\nHost: control\r\n\r\n"));
-        let (head, body) = operator.answer();
-        operator.ends();
-        (status(&head), body)
+        let (head, body) = operator.read_response();
+        operator.expect_eof();
+        (parse_status(&head), body)
     }
 
     /// Waits for a line of the log with these words.
-    pub fn log(&self, words: &str) -> String {
+    pub fn wait_for_log(&self, words: &str) -> String {
         let log = self.log.as_ref().expect("started");
         loop {
-            let line = log.recv_timeout(HANGS).unwrap_or_else(|_| panic!("no line says {words:?}"));
+            let line = log.recv_timeout(HANG_TIMEOUT).unwrap_or_else(|_| panic!("no line says {words:?}"));
             if line.contains(words) {
                 return line;
             }
@@ -585,7 +585,7 @@
     }
 
     /// All lines of the log from here on, once the broker has ended.
-    pub fn rest_of_log(&self) -> Vec<String> {
+    pub fn remaining_log(&self) -> Vec<String> {
         self.log.as_ref().expect("started").iter().collect()
     }
 
@@ -599,51 +599,51 @@
     }
 
     /// Waits until the broker has taken in all that was in its sockets when this was called.
-    pub fn settle(&self) {
+    pub fn wait_until_input_processed(&self) {
         let mut client = self.client();
         client.send("GET /up HTTP/1.1\r\nConnection: close\r\n\r\n");
-        client.status();
+        client.read_status();
     }
 
-    pub fn id(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.program.as_ref().expect("started").id()
     }
 
     pub fn signal(&self, signal: &str) {
-        let status = Command::new("kill").args(["-s", signal, &self.id().to_string()]).status();
+        let status = Command::new("kill").args(["-s", signal, &self.process_id().to_string()]).status();
         assert!(status.expect("runs").success());
     }
 
     /// Holds the broker: what is written to its sockets waits there, in the order of the writing.
-    pub fn stop(&self) {
+    pub fn suspend(&self) {
         self.signal("STOP");
-        until("the broker runs on", || self.states().all(|state| state == 'T'));
+        wait_until("the broker runs on", || self.states().all(|state| state == 'T'));
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("CONT");
     }
 
     /// Holds the broker right before its next write that gives a part up, for this long at the least.
-    pub fn hold_give_ups(&self, at_least: Duration) {
+    pub fn delay_cancel_writes(&self, at_least: Duration) {
         fs::write(self.dir.join("delay"), format!("1 {} until-released", at_least.as_millis()))
             .expect("written");
     }
 
     /// Waits until the broker is held before such a write.
-    pub fn held(&self) {
-        until("no part is given up", || self.dir.join("delay.waiting").exists());
+    pub fn wait_until_write_delayed(&self) {
+        wait_until("no part is given up", || self.dir.join("delay.waiting").exists());
     }
 
     /// Lets the broker write, this time and from now on.
-    pub fn release(&self) {
+    pub fn release_writes(&self) {
         fs::remove_file(self.dir.join("delay")).expect("there");
         fs::remove_file(self.dir.join("delay.waiting")).expect("it was held");
     }
 
     /// The state of each of its threads.
     fn states(&self) -> impl Iterator<Item = char> + use<> {
-        let tasks = fs::read_dir(format!("/proc/{}/task", self.id())).expect("it runs");
+        let tasks = fs::read_dir(format!("/proc/{}/task", self.process_id())).expect("it runs");
         let stat = tasks.flatten().filter_map(|task| fs::read_to_string(task.path().join("stat")).ok());
         stat.filter_map(|stat| stat.rsplit(") ").next()?.chars().next())
     }
@@ -655,14 +655,14 @@
     }
 
     /// Waits for the broker's end. Gives its exit code.
-    pub fn exit(&mut self) -> Option<i32> {
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
         let mut program = self.program.take().expect("started");
         let begun = Instant::now();
         loop {
             if let Some(status) = program.try_wait().expect("a child") {
                 return status.code();
             }
-            if begun.elapsed() >= HANGS {
+            if begun.elapsed() >= HANG_TIMEOUT {
                 self.program = Some(program);
                 panic!("it does not end");
             }
--- a/tests/crossings/main.rs
+++ b/tests/crossings/main.rs
@@ -1,13 +1,13 @@
 //! Where two events can cross: the rows of `docs/design/crossings.md`, each on real sockets with the crossing forced.
 
+mod harness;
 #[path = "../program/mod.rs"]
 mod program;
-mod stage;
 
 mod attempts;
-mod client_gone;
+mod client_disconnects;
 mod floods;
-mod held_up;
 mod lists;
 mod settings;
 mod shutdown;
+mod slow_writes;
--- a/tests/crossings/settings.rs
+++ b/tests/crossings/settings.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
 
-use crate::stage::{Stage, line};
+use crate::harness::{Harness, server_entry};
 
 /// A tile server that answers each part at once, with its own id.
 fn serves() -> SocketAddr {
@@ -131,14 +131,14 @@
 fn the_program_serves_on_settings_as_others_have_them() {
     for seed in 0..24 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut stage = Stage::new(&format!("drawn-{seed}"), 0);
+        let mut harness = Harness::new(&format!("drawn-{seed}"), 0);
         let servers = rng.random_range(1..4);
-        let lines = (0..servers).map(|cell| line(&format!("s{cell}"), serves(), cell, "up"));
-        stage.config["known"]["endpoints"] = lines.collect();
+        let lines = (0..servers).map(|cell| server_entry(&format!("s{cell}"), serves(), cell, "up"));
+        harness.config["known"]["endpoints"] = lines.collect();
         let settings = drawn(&mut rng, servers);
-        stage.config["settings"] = settings.clone();
-        stage.start();
-        let mut client = stage.client();
+        harness.config["settings"] = settings.clone();
+        harness.start();
+        let mut client = harness.client();
         for (number, profile) in settings["profiles"].as_array().expect("a list").iter().enumerate() {
             let class = profile["name"].as_str().expect("a name");
             let tenant = if settings["tenants"].is_array() { "X-Tenant-Id: u\r\n" } else { "" };
@@ -149,15 +149,15 @@
                  {tenant}Content-Length: {}\r\n\r\n{body}",
                 body.len()
             ));
-            let (head, body) = client.answer();
+            let (head, body) = client.read_response();
             assert!(head.starts_with("HTTP/1.1 200 "), "seed {seed}, {class}: {head}{body}\n{settings}");
             let values: Value = serde_json::from_str(&body).expect("JSON");
             for piece in values["pieces"].as_array().expect("a list") {
                 assert_eq!(piece["cell"], format!("r{number}.{}", piece["tablet"]), "{body}");
             }
         }
-        stage.signal("TERM");
-        assert_eq!(stage.exit(), Some(0), "seed {seed}");
+        harness.signal("TERM");
+        assert_eq!(harness.wait_for_exit(), Some(0), "seed {seed}");
     }
 }
 
@@ -196,11 +196,11 @@
         ("/settings/registryMode", json!("odd"), "settings.registryMode: unknown value"),
         ("/settings/overShareWorth", json!(-1), "settings.overShareWorth: must be a finite amount"),
     ] {
-        let mut stage = Stage::new("refused", 2);
-        stage.set(pointer, value);
-        stage.spawn();
-        assert_eq!(stage.exit(), Some(1), "{pointer}");
-        let log = stage.rest_of_log();
+        let mut harness = Harness::new("refused", 2);
+        harness.set_config(pointer, value);
+        harness.spawn();
+        assert_eq!(harness.wait_for_exit(), Some(1), "{pointer}");
+        let log = harness.remaining_log();
         assert!(log.iter().any(|line| line.contains(words)), "{words}: {log:?}");
     }
 }
--- a/tests/operations/main.rs
+++ b/tests/operations/main.rs
@@ -1,57 +1,57 @@
-//! What operators do with a running broker: drains, readiness and figures, each on real sockets. The stage, with its
+//! What operators do with a running broker: drains, readiness and figures, each on real sockets. The harness, with its
 //! stand-ins that hold a moment, is that of `tests/crossings`.
 
+#[path = "../crossings/harness.rs"]
+mod harness;
 #[path = "../program/mod.rs"]
 mod program;
-#[path = "../crossings/stage.rs"]
-mod stage;
 
 mod drain;
-mod figures;
 mod floods;
 mod readiness;
+mod statistics;
 
-use stage::{Stage, until};
+use harness::{Harness, wait_until};
 
 const UP: &str = "GET /up HTTP/1.1\r\n\r\n";
 
-/// A stage with so many tile servers whose broker, not started yet, listens to operators.
-fn operated(name: &str, tiles: usize) -> Stage {
-    let mut stage = Stage::new(&format!("operated-{name}"), tiles);
-    stage.is_operated = true;
-    stage
+/// A harness with so many tile servers whose broker, not started yet, listens to operators.
+fn operated(name: &str, servers: usize) -> Harness {
+    let mut harness = Harness::new(&format!("operated-{name}"), servers);
+    harness.has_control = true;
+    harness
 }
 
 /// Begins a drain.
-fn drain(stage: &Stage) {
-    assert_eq!(stage.operate("PUT", "/ops/drain/start").0, 200);
+fn drain(harness: &Harness) {
+    assert_eq!(harness.control_request("PUT", "/ops/drain/start").0, 200);
 }
 
 /// Ends a drain.
-fn resume(stage: &Stage) {
-    assert_eq!(stage.operate("PUT", "/ops/drain/stop").0, 200);
+fn resume(harness: &Harness) {
+    assert_eq!(harness.control_request("PUT", "/ops/drain/stop").0, 200);
 }
 
 /// What `GET /up` says on a new connection.
-fn up(stage: &Stage) -> u16 {
-    let mut client = stage.client();
+fn up(harness: &Harness) -> u16 {
+    let mut client = harness.client();
     client.send(UP);
-    client.status()
+    client.read_status()
 }
 
 /// What the endpoint says of readiness.
-fn readiness(stage: &Stage) -> u16 {
-    stage.operate("GET", "/ops/readiness").0
+fn readiness(harness: &Harness) -> u16 {
+    harness.control_request("GET", "/ops/readiness").0
 }
 
 /// Waits until the broker takes clients again.
-fn comes_back(stage: &Stage) {
-    until("it does not take clients again", || up(stage) == 200 && readiness(stage) == 200);
+fn comes_back(harness: &Harness) {
+    wait_until("it does not take clients again", || up(harness) == 200 && readiness(harness) == 200);
 }
 
 /// Lets 2 s pass, by the broker's own clock: a client that does not end its request is told so then.
-fn two_seconds_pass(stage: &Stage) {
-    let mut slow = stage.client();
+fn two_seconds_pass(harness: &Harness) {
+    let mut slow = harness.client();
     slow.send("POST /search HTTP/1.1\r\n");
-    assert_eq!(slow.status(), 408);
+    assert_eq!(slow.read_status(), 408);
 }
--- a/tests/operations/figures.rs
+++ b/tests/operations/statistics.rs
@@ -10,8 +10,8 @@
 use serde_json::json;
 use socket2::SockRef;
 
+use crate::harness::{Client, Harness, request, server_entry, wait_until};
 use crate::operated;
-use crate::stage::{Client, Stage, line, request, until};
 
 const CLASSES: [&str; 3] = ["search", "flag", "report"];
 
@@ -133,8 +133,8 @@
 
 /// A broker under statistics: polls check that no counter falls, and clients' answers are counted.
 struct Day {
-    stage: Stage,
-    tiles: Vec<CountingTile>,
+    harness: Harness,
+    servers: Vec<CountingTile>,
     last: Figures,
     /// What clients have been told, in the endpoint's words.
     told: Figures,
@@ -142,20 +142,22 @@
 
 impl Day {
     fn start(name: &str) -> Self {
-        let tiles = vec![CountingTile::start(), CountingTile::start()];
-        let mut stage = operated(name, 2);
-        let lines =
-            tiles.iter().zip(0..).map(|(tile, cell)| line(&format!("s{cell}"), tile.address, cell, "up"));
-        stage.set("/known/endpoints", lines.collect());
-        stage.start();
+        let servers = vec![CountingTile::start(), CountingTile::start()];
+        let mut harness = operated(name, 2);
+        let lines = servers
+            .iter()
+            .zip(0..)
+            .map(|(server, cell)| server_entry(&format!("s{cell}"), server.address, cell, "up"));
+        harness.set_config("/known/endpoints", lines.collect());
+        harness.start();
         let zeros = CLASSES.iter().flat_map(|class| {
             ["fulfilled", "throttled", "faulted"].map(|outcome| (format!("operations.{class}.{outcome}"), 0))
         });
-        Day { stage, tiles, last: Figures::new(), told: zeros.collect() }
+        Day { harness, servers, last: Figures::new(), told: zeros.collect() }
     }
 
     fn poll(&mut self) -> Figures {
-        let (status, text) = self.stage.operate("GET", "/ops/stats");
+        let (status, text) = self.harness.control_request("GET", "/ops/stats");
         assert_eq!(status, 200);
         let figures = parse(&text);
         for (name, before) in self.last.iter().filter(|(name, _)| is_counter(name)) {
@@ -167,12 +169,12 @@
 
     /// Waits until a figure has this value.
     fn until_figure(&mut self, name: &str, value: u64) {
-        until(&format!("{name} does not come to {value}"), || self.poll()[name] == value);
+        wait_until(&format!("{name} does not come to {value}"), || self.poll()[name] == value);
     }
 
     /// Counts the answer that a client gets.
     fn answered(&mut self, class: &str, client: &mut Client) -> (u16, String) {
-        let (head, body) = client.answer();
+        let (head, body) = client.read_response();
         let status: u16 = head.split(' ').nth(1).and_then(|word| word.parse().ok()).expect("a status");
         let outcome = match status {
             200 => "fulfilled",
@@ -184,18 +186,18 @@
         (status, body)
     }
 
-    fn ask(&mut self, class: &str, id: &str, shards: &[u32]) -> (u16, String) {
-        let mut client = self.stage.client();
+    fn query(&mut self, class: &str, id: &str, shards: &[u32]) -> (u16, String) {
+        let mut client = self.harness.client();
         client.send(&request(class, id, shards, 50_000));
         self.answered(class, &mut client)
     }
 
     /// Waits until the figures equal what clients and tile servers count.
     fn until_equal(&mut self) {
-        let relayed: u64 = self.tiles.iter().map(CountingTile::parts).sum();
+        let relayed: u64 = self.servers.iter().map(CountingTile::parts).sum();
         let expected: Figures =
             self.told.clone().into_iter().chain([("relayed".to_owned(), relayed)]).collect();
-        until(&format!("the figures do not come to {expected:?}"), || {
+        wait_until(&format!("the figures do not come to {expected:?}"), || {
             let figures = self.poll();
             expected.iter().all(|(name, value)| figures.get(name) == Some(value))
                 && figures["open_requests"] == 0
@@ -219,10 +221,10 @@
     let mut statuses = Vec::new();
     for round in 0..5 {
         for class in CLASSES {
-            statuses.push(day.ask(class, &format!("served-{class}{round}"), &[0, 1]).0);
-            statuses.push(day.ask(class, &format!("skipped-{class}{round}"), &[0]).0);
-            statuses.push(day.ask(class, &format!("broke-{class}{round}"), &[1]).0);
-            statuses.push(day.ask(class, &format!("reset-{class}{round}"), &[0]).0);
+            statuses.push(day.query(class, &format!("served-{class}{round}"), &[0, 1]).0);
+            statuses.push(day.query(class, &format!("skipped-{class}{round}"), &[0]).0);
+            statuses.push(day.query(class, &format!("broke-{class}{round}"), &[1]).0);
+            statuses.push(day.query(class, &format!("reset-{class}{round}"), &[0]).0);
             day.poll();
         }
     }
@@ -236,10 +238,10 @@
 #[test]
 fn a_partial_answer_counts_as_fulfilled() {
     let mut day = Day::start("partial");
-    let mut client = day.stage.client();
+    let mut client = day.harness.client();
     client.send(&request("report", "held-partial", &[0, 1], 1500));
-    until("a part does not come", || day.tiles.iter().all(|tile| tile.state().held.len() == 1));
-    day.tiles[0].release();
+    wait_until("a part does not come", || day.servers.iter().all(|server| server.state().held.len() == 1));
+    day.servers[0].release();
     // The other part is held until there is no time left for it.
     let (status, body) = day.answered("report", &mut client);
     assert!(status == 200 && body.contains("\"full\":false"), "{status}: {body}");
@@ -249,20 +251,20 @@
 #[test]
 fn open_requests_are_those_that_are_held_and_clients_that_leave_are_none() {
     let mut day = Day::start("open");
-    let mut clients: Vec<Client> = (0..6).map(|_| day.stage.client()).collect();
+    let mut clients: Vec<Client> = (0..6).map(|_| day.harness.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
-        client.ask("search", &format!("held-{number}"), 0);
+        client.send_query("search", &format!("held-{number}"), 0);
     }
     day.until_figure("open_requests", 6);
     // It is owed an answer under that name already.
-    assert_eq!(day.ask("search", "held-0", &[0]).0, 409);
+    assert_eq!(day.query("search", "held-0", &[0]).0, 409);
     // A client that leaves before its part is sent has none sent for it: all parts are out first.
-    until("a part does not come", || day.tiles[0].parts() == 6);
+    wait_until("a part does not come", || day.servers[0].parts() == 6);
     for client in clients.drain(4..) {
         client.close();
     }
     day.until_figure("open_requests", 4);
-    day.tiles[0].release();
+    day.servers[0].release();
     for client in &mut clients {
         assert_eq!(day.answered("search", client).0, 200);
     }
@@ -280,27 +282,28 @@
         (format!("POST /none HTTP/1.1\r\nX-Request-ID: r\r\nX-Timeout: 90m\r\n{}", body("{}")), 404),
         ("GET /search HTTP/1.1\r\n\r\n".to_owned(), 405),
     ] {
-        let mut client = day.stage.client();
+        let mut client = day.harness.client();
         client.send(&bad);
-        assert_eq!(client.status(), expected, "{bad}");
+        assert_eq!(client.read_status(), expected, "{bad}");
     }
     // The figures of a query behind them have come, so theirs would have.
-    assert_eq!(day.ask("flag", "served-behind", &[0]).0, 200);
+    assert_eq!(day.query("flag", "served-behind", &[0]).0, 200);
     day.until_equal();
 }
 
 #[test]
 fn servers_that_drain_are_listed_and_out_of_rotation() {
     let mut day = Day::start("servers");
-    let mut call = day.stage.discovery.call();
-    call.open();
+    let mut call = day.harness.discovery.accept_call();
+    call.start_watch();
     let lines = |state: &str| {
-        let tile =
-            |cell: u32, state: &str| line(&format!("s{cell}"), day.tiles[cell as usize].address, cell, state);
-        json!([tile(0, "up"), tile(1, state)])
+        let server = |cell: u32, state: &str| {
+            server_entry(&format!("s{cell}"), day.servers[cell as usize].address, cell, state)
+        };
+        json!([server(0, "up"), server(1, state)])
     };
     let list = json!({"index": 2, "snapshot": true, "endpoints": lines("draining")});
-    call.list(&list);
+    call.send_list(&list);
     day.until_figure("out_of_rotation", 1);
     assert_eq!(day.poll()["registry_entries"], 2);
 }
--- a/tests/rush.rs
+++ b/tests/rush.rs
@@ -1,10 +1,10 @@
 //! Clients that come as fast as they are served. A target of its own, as they keep the machine busy: no other test runs
 //! beside it.
 
+#[path = "crossings/harness.rs"]
+mod harness;
 #[path = "program/mod.rs"]
 mod program;
-#[path = "crossings/stage.rs"]
-mod stage;
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::stage::Stage;
+use crate::harness::Harness;
 
 /// Clients that each open a connection, ask whether the broker is up and come again at once, until they are dropped.
 struct Rush {
@@ -55,15 +55,15 @@
 // time all waited for that turn to end (4.6 s with 8 such clients: 115,665 of their requests were answered meanwhile).
 #[test]
 fn clients_that_go_on_coming_hold_nobody_up_at_the_end_of_listening() {
-    let mut stage = Stage::new("rush", 1);
-    stage.start();
-    let mut client = stage.client();
-    client.ask("search", "open", 0);
-    let mut tile = stage.tiles[0].accept();
-    assert_eq!(tile.part(), "open.0");
-    let _rush = Rush::new(stage.address(), 16);
-    stage.signal("TERM");
-    stage.log(" clients left");
-    tile.serve("open.0", "v");
-    assert_eq!(client.status(), 200);
+    let mut harness = Harness::new("rush", 1);
+    harness.start();
+    let mut client = harness.client();
+    client.send_query("search", "open", 0);
+    let mut server = harness.servers[0].accept();
+    assert_eq!(server.next_part(), "open.0");
+    let _rush = Rush::new(harness.address(), 16);
+    harness.signal("TERM");
+    harness.wait_for_log(" clients left");
+    server.serve("open.0", "v");
+    assert_eq!(client.read_status(), 200);
 }
--- a/tests/upgrade/cold.rs
+++ b/tests/upgrade/cold.rs
@@ -12,9 +12,9 @@
 use serde_json::json;
 
 use crate::fixture::Fixture;
+use crate::harness::{request, wait_until};
 use crate::load::{Outcome, read_response};
 use crate::process::Process;
-use crate::stage::{request, until};
 
 /// Time window of the limit for cold servers (`overloadForNs`).
 const WINDOW: Duration = Duration::from_secs(2);
@@ -41,7 +41,7 @@
 fn wait_for_first_window(fixture: &Fixture) {
     let started = Instant::now();
     fixture.assert_serves("first");
-    until("the first window does not pass", || started.elapsed() > WINDOW);
+    wait_until("the first window does not pass", || started.elapsed() > WINDOW);
 }
 
 /// Sends [`QUERIES`] queries for the cold server over one connection, which stays with the process that
@@ -101,7 +101,7 @@
     send_queries(&mut old_client, "before");
     let successor = fixture.start_successor();
     old.wait_for_log("the new process takes clients");
-    until("the cold server stays busy", || fixture.tile_servers[COLD].is_idle_for(WINDOW));
+    wait_until("the cold server stays busy", || fixture.tile_servers[COLD].is_idle_for(WINDOW));
     send_queries(&mut connect(&fixture), "new");
     send_queries(&mut old_client, "old");
     assert_within_limit(&fixture);
--- a/tests/upgrade/failures.rs
+++ b/tests/upgrade/failures.rs
@@ -6,8 +6,8 @@
 use rustix::process::Signal;
 
 use crate::fixture::Fixture;
+use crate::harness::request;
 use crate::load::{Load, Outcome, UP_REQUEST, read_response};
-use crate::stage::request;
 
 /// Minimum number of queries that the clients send in each phase of an upgrade.
 const REQUESTS_PER_PHASE: usize = 50;
--- a/tests/upgrade/fixture.rs
+++ b/tests/upgrade/fixture.rs
@@ -12,10 +12,10 @@
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 
+use crate::harness::{Discovery, request, server_entry, wait_until};
 use crate::load::{Outcome, exchange};
 use crate::process::Process;
 use crate::program;
-use crate::stage::{Discovery, line, request, until};
 use crate::tiles::{TileServer, start_discovery};
 
 const NAME: &str = "n0";
@@ -63,7 +63,7 @@
         let mut entries: Vec<_> = tile_servers
             .iter()
             .zip(0..)
-            .map(|(server, cell)| line(&format!("s{cell}"), server.address, cell, "up"))
+            .map(|(server, cell)| server_entry(&format!("s{cell}"), server.address, cell, "up"))
             .collect();
         change(&mut config["settings"], &mut entries);
         config["known"]["endpoints"] = entries.iter().cloned().collect();
@@ -124,12 +124,12 @@
     /// then killed and another one is started.
     pub fn start_suspended(&self) -> Process {
         let mut suspended = None;
-        until("every process is ready before it is suspended", || {
+        wait_until("every process is ready before it is suspended", || {
             let before = self.socket_identity();
             let discovery = Discovery::new();
             let process = self.spawn_with_discovery(discovery.address);
             // The process calls discovery after the running process has answered it.
-            let _call = discovery.call();
+            let _call = discovery.accept_call();
             process.suspend();
             // The log may lag behind, but a process that is ready has replaced the hand-over socket.
             suspended = (self.socket_identity() == before).then_some(process);
@@ -158,7 +158,7 @@
     pub fn server_list(&self, index: u64, status: &str) -> Value {
         let entries = self.tile_servers.iter().zip(0..).map(|(server, cell)| {
             let status = if cell + 1 == TILE_SERVERS { status } else { "up" };
-            line(&format!("s{cell}"), server.address, cell, status)
+            server_entry(&format!("s{cell}"), server.address, cell, status)
         });
         json!({"index": index, "snapshot": true, "endpoints": entries.collect::<Vec<_>>()})
     }
--- a/tests/upgrade/lists.rs
+++ b/tests/upgrade/lists.rs
@@ -3,9 +3,9 @@
 use serde_json::json;
 
 use crate::fixture::{Fixture, TAKEN_OVER_LOG};
+use crate::harness::Discovery;
 use crate::load::Outcome;
 use crate::process::Process;
-use crate::stage::Discovery;
 
 /// Index of the server that drains. It is the only one with the shard of this number.
 const DRAINING: usize = 1;
@@ -26,12 +26,12 @@
     let fixture = Fixture::new("drain");
     let discovery = Discovery::new();
     let old = fixture.spawn_with_discovery(discovery.address);
-    let mut call = discovery.call();
-    call.open();
-    call.list(&fixture.server_list(1, "up"));
+    let mut call = discovery.accept_call();
+    call.start_watch();
+    call.send_list(&fixture.server_list(1, "up"));
     old.wait_until_ready();
     assert_eq!(fixture.query_server("before", DRAINING), Outcome::Answered(200));
-    call.list(&fixture.server_list(2, "draining"));
+    call.send_list(&fixture.server_list(2, "draining"));
     old.wait_for_log("servers: version 2, 1 up, 1 draining");
     let new = start_with_silent_discovery(&fixture);
     new.wait_for_log(TAKEN_OVER_LOG);
--- a/tests/upgrade/load.rs
+++ b/tests/upgrade/load.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread::{self, JoinHandle};
 
-use crate::stage::{HANGS, request, until};
+use crate::harness::{HANG_TIMEOUT, request, wait_until};
 
 /// Number of client threads. Half of them send queries, few enough at once that a broker that has just
 /// started refuses none; the other half send `GET /up`.
@@ -58,7 +58,7 @@
 
 /// Reads the response to a request that was sent.
 pub fn read_response(stream: &mut TcpStream) -> Outcome {
-    stream.set_read_timeout(Some(HANGS)).expect("set");
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
     let (mut bytes, mut buffer) = (Vec::new(), [0; 4096]);
     loop {
         if let Some(status) = response_status(&bytes) {
@@ -142,7 +142,7 @@
     /// Waits until this many more queries are completed.
     pub fn wait_for(&self, more: usize) {
         let enough = self.completed.load(Ordering::Relaxed) + more;
-        until("the clients make no progress", || self.completed.load(Ordering::Relaxed) >= enough);
+        wait_until("the clients make no progress", || self.completed.load(Ordering::Relaxed) >= enough);
     }
 
     /// Stops the clients and returns the outcomes of all requests.
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -2,10 +2,10 @@
 //! clients send requests. A discovery that does not answer and SIGSTOP hold a process between two steps of a
 //! hand-over.
 
+#[path = "../crossings/harness.rs"]
+mod harness;
 #[path = "../program/mod.rs"]
 mod program;
-#[path = "../crossings/stage.rs"]
-mod stage;
 
 mod cold;
 mod failures;
--- a/tests/upgrade/process.rs
+++ b/tests/upgrade/process.rs
@@ -7,8 +7,8 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
+use crate::harness::wait_until;
 use crate::load::{Outcome, exchange};
-use crate::stage::until;
 
 /// A running broker process, which is killed when dropped.
 pub struct Process {
@@ -40,7 +40,7 @@
 
     /// Waits until the log contains this text.
     pub fn wait_for_log(&self, text: &str) {
-        until(&format!("{text:?} is not logged"), || self.has_logged(text));
+        wait_until(&format!("{text:?} is not logged"), || self.has_logged(text));
     }
 
     /// The address of the control endpoint, once it is logged.
@@ -59,7 +59,7 @@
 
     /// Waits until the process is ready.
     pub fn wait_until_ready(&self) {
-        until("the process does not become ready", || self.is_ready());
+        wait_until("the process does not become ready", || self.is_ready());
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -69,7 +69,7 @@
     /// Suspends the process until [`Process::resume`] is called.
     pub fn suspend(&self) {
         self.signal(Signal::STOP);
-        until("the process is not suspended", || self.thread_states().all(|state| state == 'T'));
+        wait_until("the process is not suspended", || self.thread_states().all(|state| state == 'T'));
     }
 
     pub fn resume(&self) {
@@ -91,7 +91,7 @@
     /// Waits for the process's exit and returns its exit code.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         let mut code = None;
-        until("the process does not exit", || {
+        wait_until("the process does not exit", || {
             let status = self.child.try_wait().expect("a child process");
             code = status.and_then(|status| status.code());
             status.is_some()
--- a/tests/upgrade/queries.rs
+++ b/tests/upgrade/queries.rs
@@ -6,8 +6,8 @@
 use rustix::process::Signal;
 
 use crate::fixture::Fixture;
+use crate::harness::{request, wait_until};
 use crate::load::{Outcome, read_response};
-use crate::stage::{request, until};
 use crate::tiles::DELAYED_PREFIX;
 
 #[test]
@@ -18,7 +18,7 @@
     client.write_all(request("flag", DELAYED_PREFIX, &[0], 50_000).as_bytes()).expect("written");
     let part = format!("{DELAYED_PREFIX}.0");
     let received = || fixture.tile_servers.iter().map(|server| server.count(&part)).sum::<u32>();
-    until("the part does not arrive", || received() == 1);
+    wait_until("the part does not arrive", || received() == 1);
     let successor = fixture.start_successor();
     old.signal(Signal::TERM);
     old.wait_for_log("stopping");
--- a/tests/upgrade/tiles.rs
+++ b/tests/upgrade/tiles.rs
@@ -10,7 +10,7 @@
 
 use serde_json::Value;
 
-use crate::stage::WATCH;
+use crate::harness::WATCH_RESPONSE_HEAD;
 
 /// Parts of queries whose id starts with this are answered only after [`TileServer::release`].
 pub const DELAYED_PREFIX: &str = "held";
@@ -119,7 +119,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     let line = format!("{list}\n");
-    let answer = format!("{WATCH}{:x}\r\n{line}\r\n", line.len());
+    let answer = format!("{WATCH_RESPONSE_HEAD}{:x}\r\n{line}\r\n", line.len());
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let answer = answer.clone();
