--- a/tests/crossings/attempts.rs
+++ b/tests/crossings/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts at parts: repeats and their window, resets under them, answers that are cut, come late or never end.
+//! Attempts: retries and their idempotency window, connection resets during them, and answers that are
+//! truncated, late or never complete.
 
 use std::time::{Duration, Instant};
 
@@ -6,14 +7,14 @@
 
 use crate::harness::{Harness, wait_until, wait_until_delivered};
 
-// A part of a keyed class is lost, and the connection for its repeat comes up only after the window in which servers
-// drop a repeat is over: the repeat is never written, and the query fails.
+// The connection for the retry of a keyed part is established only after the idempotency window, in which
+// servers discard duplicates, has passed. The retry must not be sent, and the query fails.
 #[test]
-fn a_repeat_whose_connection_comes_up_late_is_not_written() {
+fn a_retry_is_not_sent_after_its_idempotency_window() {
     let mut harness = Harness::new("window", 1);
-    // Under the second after which a system knocks again.
+    // Shorter than the 1 s after which the kernel retransmits a SYN.
     harness.set_config("/settings/profiles/1/windowNs", json!(900_000_000_u64));
-    // A connection is waited for longer than its system takes to knock again.
+    // The broker waits for a connection for longer than the kernel takes to retransmit.
     harness.set_class_option("aimNs", &json!(30_000_000_000_u64));
     harness.start();
     let mut client = harness.client();
@@ -23,18 +24,18 @@
     harness.servers[0].block_connects();
     server.reset();
     harness.servers[0].wait_for_connect_attempt();
-    // The connection is let in when its system knocks again, which is a second after the first time.
+    // The connection is established by the retransmitted SYN, 1 s after the first one.
     harness.servers[0].allow_connects();
     let mut late = harness.servers[0].accept();
-    assert_eq!(client.read_status(), 502, "it may have run, and no repeat may");
+    assert_eq!(client.read_status(), 502, "the part may have run and must not be retried");
     let mut next = harness.client();
     next.send_query("flag", "next", 0);
     assert_eq!(late.next_part(), "next.0");
 }
 
-// The same class, with a window that is long enough: the repeat is written as soon as the connection is up.
+// The same with a window that is long enough: the retry is sent as soon as the connection is established.
 #[test]
-fn a_repeat_inside_its_window_is_written_late() {
+fn a_retry_is_sent_within_its_idempotency_window() {
     let mut harness = Harness::new("inside", 1);
     harness.set_class_option("aimNs", &json!(30_000_000_000_u64));
     harness.start();
@@ -52,10 +53,10 @@
     assert_eq!(client.read_status(), 200);
 }
 
-// Another site gives the class another effect: what was turned away unseen goes to another server, and what may have
-// run is not sent again, also where its connection is reset long after it began.
+// A part of an unsafe class that a server skipped without running it is sent to another server. One that
+// may have run is not sent again, even if its connection is reset long after the attempt started.
 #[test]
-fn an_unsafe_part_is_sent_again_only_if_it_never_ran() {
+fn an_unsafe_part_is_retried_only_if_it_did_not_run() {
     let mut harness = Harness::new("unsafe", 2);
     harness.set_config("/settings/profiles/0/effect", json!("unsafe"));
     harness.set_config("/settings/extra/width", json!(2));
@@ -63,13 +64,13 @@
     harness.start();
     let mut client = harness.client();
     client.send_query("search", "r1", 0);
-    // Whichever of the two it goes to first: the other one's turn comes once that has turned it away.
+    // The broker picks either server. It tries the other one once the first has skipped the part.
     let (mut first, other) = harness.first_of_two();
     assert_eq!(first.next_part(), "r1.0");
     first.send("ar1.0 skipped 1 -\n");
     let mut second = harness.servers[other].accept();
     assert_eq!(second.next_part(), "r1.0");
-    // A client that is told so after 2 s lets time pass.
+    // Lets 2 s pass: the broker then answers a client that does not finish its request.
     let mut slow = harness.client();
     slow.send("POST /search HTTP/1.1\r\n");
     assert_eq!(slow.read_status(), 408);
@@ -77,10 +78,10 @@
     assert_eq!(client.read_status(), 502);
 }
 
-// A tile server's last words and its reset are in the sockets when the broker looks: what came whole counts, and the
-// half line behind it is the end of nothing.
+// A tile server sends a complete answer and half of another one and closes the connection, all before the
+// broker reads. The complete answer counts; the truncated one completes nothing.
 #[test]
-fn what_came_whole_before_a_reset_counts() {
+fn a_complete_answer_before_the_close_counts() {
     let mut harness = Harness::new("last-words", 1);
     harness.start();
     let mut client = harness.client();
@@ -93,7 +94,7 @@
     harness.suspend();
     server.serve("first.0", "v");
     std::io::Write::write_all(&mut server.stream, b"\0\0\0\x20asecond.0 served 1 -\nva").expect("written");
-    // Closed in order, as a reset would take what was not read along with it.
+    // An orderly close, as a reset would discard what the broker has not read.
     server.wait_until_delivered();
     server.close();
     harness.resume();
@@ -105,10 +106,10 @@
     assert!(body.contains("\"w\""), "{body}");
 }
 
-// An attempt is given up, and its answer comes in the same gathering as the word of the next one: it is nobody's, and
-// the part is never out twice.
+// The broker cancels an attempt whose answer is already in the socket. The answer must be ignored, and the
+// part must not be sent again.
 #[test]
-fn an_answer_after_its_attempt_was_given_up_is_nobodys() {
+fn an_answer_to_a_cancelled_attempt_is_ignored() {
     let mut harness = Harness::new("given-up", 1);
     harness.start();
     let mut client = harness.client();
@@ -122,7 +123,7 @@
     harness.resume();
     let mut next = harness.client();
     next.send_query("search", "next", 0);
-    // Whichever the broker read first, the word that it is given up may come; the part does not.
+    // Depending on what the broker reads first, it may send a cancel frame, but not the part again.
     let mut frame = server.next_frame();
     if frame == "cgone.0" {
         frame = server.next_frame();
@@ -133,11 +134,11 @@
     assert!(body.contains("\"v\""), "{body}");
 }
 
-// A tile server ends a connection that rests, and a part for it is asked for, both while the broker is held. The end is
-// met first, whichever came first: the part goes over a new connection, and nothing of it may have run before, so that
-// also one that must not be repeated is served.
+// A tile server closes an idle connection and a client requests a part for it, both while the broker is
+// suspended. In either order the broker must see the close first and use a new connection. Nothing may have
+// run on the old one, so even an unsafe part is served.
 #[test]
-fn a_server_that_ends_an_idle_connection_costs_no_attempt() {
+fn an_idle_connection_closed_by_the_server_costs_no_attempt() {
     let mut harness = Harness::new("idle-end", 1);
     harness.set_config("/settings/profiles/0/effect", json!("unsafe"));
     harness.start();
@@ -165,41 +166,42 @@
     }
 }
 
-// What was seen: of two classes, the one whose parts take long lost them as soon as the other one was served by the same
-// server. Why: a connection that said nothing for a sixth of the shortest aim of all classes was in doubt, and for half of
-// that aim held for dead if its server answered elsewhere what came later. The server was at work on a part of a class that
-// has an aim of its own; a part of an unsafe class would have failed its query.
+// Regression test: liveness checks used the shortest aim of all classes. A connection without data for a
+// sixth of it was suspected, and after half of it counted as dead if the server had answered a later part
+// elsewhere. Parts of a slow class were therefore lost as soon as the same server answered a fast class. An
+// unsafe part would have failed its query.
 #[test]
-fn a_part_that_takes_long_by_another_classs_aim_is_waited_for() {
+fn a_part_slower_than_another_classs_aim_is_not_lost() {
     let mut harness = Harness::new("long", 1);
     let short_aim = Duration::from_secs(2);
     harness.set_class_option("aimNs", &json!(short_aim.as_nanos() as u64));
     harness.set_config("/settings/profiles/1/aimNs", json!(50_000_000_000_u64));
     harness.start();
-    // The module learns that parts of both take little, so that one does not wait for the other to end.
-    let mut waits = harness.client();
-    waits.send_query("flag", "quick", 0);
+    // The broker learns that parts of both classes are fast, so that one does not wait for the other to
+    // finish.
+    let mut flag_client = harness.client();
+    flag_client.send_query("flag", "quick", 0);
     let mut first = harness.servers[0].accept();
     assert_eq!(first.next_part(), "quick.0");
     first.serve("quick.0", "v");
-    assert_eq!(waits.read_status(), 200);
-    waits.send_query("flag", "long", 0);
+    assert_eq!(flag_client.read_status(), 200);
+    flag_client.send_query("flag", "long", 0);
     assert_eq!(first.next_part(), "long.0");
-    let begun = Instant::now();
-    wait_until("time stands still", || begun.elapsed() > short_aim / 2);
-    let mut other = harness.client();
-    other.send_query("search", "short", 0);
-    // It comes over the same connection, or over another one.
+    let started = Instant::now();
+    wait_until("the time does not pass", || started.elapsed() > short_aim / 2);
+    let mut search_client = harness.client();
+    search_client.send_query("search", "short", 0);
+    // It arrives on the same connection or on another one.
     let mut second = None;
-    wait_until("the part does not come", || {
+    wait_until("the part does not arrive", || {
         second = harness.servers[0].try_accept();
         second.is_some() || first.has_input()
     });
     let serving = second.as_mut().unwrap_or(&mut first);
     assert_eq!(serving.next_part(), "short.0");
     serving.serve("short.0", "v");
-    assert_eq!(other.read_status(), 200);
-    wait_until("time stands still", || begun.elapsed() > short_aim * 2);
+    assert_eq!(search_client.read_status(), 200);
+    wait_until("the time does not pass", || started.elapsed() > short_aim * 2);
     first.serve("long.0", "v");
-    assert_eq!(waits.read_status(), 200);
+    assert_eq!(flag_client.read_status(), 200);
 }
--- a/tests/crossings/client_disconnects.rs
+++ b/tests/crossings/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that leave: from then on no attempt begins for them, whatever it waited for.
+//! Clients that disconnect: afterwards no attempt for them may start, whatever it was waiting for.
 
 use std::io::Write;
 
@@ -6,9 +6,9 @@
 
 use crate::harness::{Client, HANG_TIMEOUT, Harness, request, wait_until_delivered};
 
-/// A client leaves while its part waits for a connection to come up. The connection comes up later and carries the
-/// next client's part first.
-fn leaves_while_a_connection_comes_up(name: &str, cancel: bool) {
+/// A client disconnects while its part waits for a connection to be established. Once that is established,
+/// the first part on it must be the next client's.
+fn disconnects_while_connecting(name: &str, cancel: bool) {
     let mut harness = Harness::new(name, 2);
     harness.set_config("/settings/limits/cancel", json!(cancel));
     harness.servers[0].block_connects();
@@ -18,7 +18,7 @@
     harness.servers[0].wait_for_connect_attempt();
     gone.close();
     harness.wait_until_input_processed();
-    // The step that was told of it has been made once a later query's part is out.
+    // Once a part of a later query is sent, the broker has processed the disconnect.
     let mut other = harness.client();
     other.send_query("search", "other", 1);
     let mut elsewhere = harness.servers[1].accept();
@@ -30,20 +30,22 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_a_connection_comes_up_is_not_sent_on() {
-    leaves_while_a_connection_comes_up("coming-up", true);
+fn no_part_is_sent_for_a_client_that_disconnects_while_connecting() {
+    disconnects_while_connecting("coming-up", true);
 }
 
-// Where the settings allow no cancelling, what has not been written is taken back all the same: it never began.
+// Parts that were not sent yet are withdrawn even if the settings do not allow cancelling: they never
+// started.
 #[test]
-fn what_was_never_written_is_taken_back_where_nothing_may_be_cancelled() {
-    leaves_while_a_connection_comes_up("no-cancel", false);
+fn unsent_parts_are_withdrawn_even_if_cancelling_is_disabled() {
+    disconnects_while_connecting("no-cancel", false);
 }
 
-// A client asks, sends much more at once and goes, all while the broker is held. The end lies behind what one turn
-// reads: the request is not taken before that is read.
+// A client sends a query followed by much more data and closes, all while the broker is suspended. The
+// close lies beyond what the broker reads in one loop iteration, and the query must not be started before
+// the close is read.
 #[test]
-fn one_that_sends_much_at_once_and_goes_is_not_sent_on() {
+fn no_part_is_sent_for_a_client_that_sends_much_and_closes() {
     for (round, junk) in [0, 40_000, 120_000].into_iter().enumerate() {
         let mut harness = Harness::new(&format!("much-{round}"), 1);
         harness.start();
@@ -57,14 +59,14 @@
         let mut next = harness.client();
         next.send_query("search", "next", 0);
         harness.resume();
-        assert_eq!(harness.servers[0].accept().next_part(), "next.0", "{junk} bytes behind the request");
+        assert_eq!(harness.servers[0].accept().next_part(), "next.0", "{junk} bytes after the request");
     }
 }
 
-// More than a connection's buffer holds lies behind a request that is out. Its client's end is seen all the same, and
-// the broker does not turn in circles over it.
+// More data than the connection's read buffer holds follows a query that was sent to a server. The broker
+// must still detect the reset by the client, and must not busy-loop.
 #[test]
-fn the_end_of_one_that_has_sent_too_much_is_seen() {
+fn a_reset_behind_excess_data_is_detected() {
     let mut harness = Harness::new("too-much", 1);
     harness.start();
     let mut gone = harness.client();
@@ -77,12 +79,13 @@
     assert_eq!(server.next_frame(), "cgone.0");
 }
 
-// A client closes its connection and sends its request once more on a new one, while the broker is held: the broker
-// learns of the new connection first, and the name is free all the same.
+// A client closes its connection and sends its request again on a new one, while the broker is suspended.
+// The broker sees the new connection first; the request id must be free all the same.
 #[test]
-fn a_request_that_is_sent_once_more_finds_its_name_free() {
+fn a_request_id_can_be_reused_after_a_reconnect() {
     let mut harness = Harness::new("once-more", 1);
-    // A busy machine may hold the broker for long: its connection is not to be doubted for that.
+    // On a busy machine the broker may be suspended for long, which must not make it suspect the
+    // connection.
     harness.set_class_option("aimNs", &json!(60_000_000_000_u64));
     harness.start();
     let mut first = harness.client();
@@ -95,17 +98,17 @@
     wait_until_delivered(&second.stream);
     first.close();
     harness.resume();
-    // The earlier part may yet be answered under the same id, so the new one goes over another connection.
+    // The earlier part may still be answered under the same id, so the new one uses another connection.
     let mut other = harness.servers[0].accept();
     assert_eq!(other.next_part(), "same.0");
     other.serve("same.0", "v");
     assert_eq!(second.read_status(), 200);
 }
 
-// The protocol's page knows one end of a client's, the close of its connection, and an end of its sending alone can't be
-// told apart from it: whoever ends its sending has gone.
+// The protocol knows only the close of a client's connection, and the broker cannot tell a half-close from
+// it. A client that shuts down its sending side counts as disconnected.
 #[test]
-fn an_end_of_sending_is_an_end() {
+fn a_half_close_counts_as_a_disconnect() {
     let mut harness = Harness::new("sending", 1);
     harness.start();
     let mut client = harness.client();
@@ -117,12 +120,12 @@
     client.expect_eof();
 }
 
-// A burst of clients takes all the room there is and leaves, while its connections come up: the room is given back, and
-// nothing of the burst is ever written.
+// A burst of clients uses up the limit on open queries and disconnects while connections to the server are
+// being established. The capacity must become free again, and no part of the burst may be sent.
 #[test]
-fn a_burst_that_leaves_gives_its_room_back() {
+fn a_burst_of_disconnecting_clients_frees_its_capacity() {
     let mut harness = Harness::new("burst", 2);
-    // Ten queries of one part each.
+    // Admits ten queries of one part each.
     harness.set_config("/settings/limits/maxOpen", json!(20));
     harness.servers[0].block_connects();
     harness.start();
@@ -151,11 +154,11 @@
     assert_eq!(harness.servers[0].accept().next_part(), "next.0");
 }
 
-// What was seen: a client refused for want of room got no `Retry-After`, though the settings allow one of up to 2 s, and came
-// back at once, again and again. Why: only refusals by the module carried its time to stay away; these are made before it
-// is asked.
+// Regression test: a client refused for lack of capacity got no `Retry-After`, although the settings allow
+// one of up to 2 s, and retried at once, again and again. Only refusals by the router carried the header;
+// these refusals happen before the router is asked.
 #[test]
-fn a_client_refused_for_want_of_room_is_told_when_to_come_back() {
+fn a_client_refused_for_lack_of_capacity_gets_retry_after() {
     for (allowed, expected) in [(true, Some("Retry-After: 0.300")), (false, None)] {
         let mut harness = Harness::new("full", 1);
         harness.set_config("/settings/limits/maxOpen", json!(2));
--- a/tests/crossings/lists.rs
+++ b/tests/crossings/lists.rs
@@ -1,4 +1,4 @@
-//! Lists that come late, in part, out of order or not at all, just before a server drains.
+//! Server lists that are late, incomplete, out of order or missing just before a server drains.
 
 use std::time::{Duration, Instant};
 
@@ -8,14 +8,15 @@
     DiscoveryCall, HANG_TIMEOUT, Harness, WATCH_RESPONSE_HEAD, wait_until, wait_until_delivered,
 };
 
-/// A change counts as told so long after discovery had it and could be reached.
-const COUNTS_AS_TOLD: Duration = Duration::from_secs(6);
+/// A change counts as delivered this long after discovery has it and can be reached.
+const DELIVERY_DEADLINE: Duration = Duration::from_secs(6);
 
-/// A harness with a broker whose list has come, each of the shards held by both tile servers: it has one to go to.
-fn told(name: &str, set: impl FnOnce(&mut Harness)) -> (Harness, DiscoveryCall) {
+/// Starts a broker that has received its first list. Each shard is held by both tile servers, so that one
+/// is left when the other drains.
+fn start_with_list(name: &str, configure: impl FnOnce(&mut Harness)) -> (Harness, DiscoveryCall) {
     let mut harness = Harness::new(name, 2);
     harness.set_config("/settings/extra/width", json!(2));
-    set(&mut harness);
+    configure(&mut harness);
     harness.start();
     let mut call = harness.discovery.accept_call();
     call.start_watch();
@@ -24,17 +25,17 @@
     (harness, call)
 }
 
-fn asked_for(harness: &mut Harness) {
+fn set_on_request_mode(harness: &mut Harness) {
     harness.set_config("/settings/registryMode", json!("on_request"));
 }
 
-/// Answers the next call with a list in which server 0 drains, and checks that it was told in time.
-fn drains_in_time(harness: &Harness, call: &mut DiscoveryCall, since: Instant) {
+/// Answers this call with a list in which server 0 drains, and checks that the broker receives it in time.
+fn assert_drain_in_time(harness: &Harness, call: &mut DiscoveryCall, since: Instant) {
     call.start_watch();
     call.send_list(&harness.server_list(3, 0, "draining"));
     harness.wait_for_log("version 3, 1 up, 1 draining");
-    assert!(since.elapsed() < COUNTS_AS_TOLD, "told after {:?}", since.elapsed());
-    // From now on all goes to the other one.
+    assert!(since.elapsed() < DELIVERY_DEADLINE, "delivered after {:?}", since.elapsed());
+    // From now on every part is sent to the other server.
     let mut client = harness.client();
     for query in 0..8 {
         client.send_query("search", &format!("after{query}"), query);
@@ -48,11 +49,12 @@
     }
 }
 
-/// A watch falls silent just before a drain, and the next call fails too: the one after that comes in time.
-fn silent_and_failing(name: &str, on_request: bool, answer: Option<&str>) {
-    let (harness, _silent) = told(name, |harness| {
+/// A watch becomes silent just before a drain, and the next call fails as well. The call after that must
+/// deliver the drain in time.
+fn assert_drain_after_failures(name: &str, on_request: bool, answer: Option<&str>) {
+    let (harness, _silent) = start_with_list(name, |harness| {
         if on_request {
-            asked_for(harness);
+            set_on_request_mode(harness);
             harness.set_config("/settings/balancers", json!(20));
         }
     });
@@ -62,56 +64,57 @@
         failing.write_raw(answer);
     }
     let mut call = harness.discovery.accept_call();
-    drains_in_time(&harness, &mut call, since);
+    assert_drain_in_time(&harness, &mut call, since);
 }
 
-const TURNED_AWAY: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+const REJECTION: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
-fn a_watch_falls_silent_and_the_next_call_is_not_answered() {
-    silent_and_failing("silent-asked", true, None);
+fn a_drain_arrives_after_a_silent_watch_and_an_unanswered_call() {
+    assert_drain_after_failures("silent-asked", true, None);
 }
 
 #[test]
-fn a_watch_falls_silent_and_the_next_call_is_turned_away() {
-    silent_and_failing("away-asked", true, Some(TURNED_AWAY));
+fn a_drain_arrives_after_a_silent_watch_and_a_rejected_call() {
+    assert_drain_after_failures("away-asked", true, Some(REJECTION));
 }
 
 #[test]
-fn a_watch_on_an_agent_falls_silent_and_the_next_call_is_not_answered() {
-    silent_and_failing("silent-pushed", false, None);
+fn a_drain_arrives_after_a_silent_agent_watch_and_an_unanswered_call() {
+    assert_drain_after_failures("silent-pushed", false, None);
 }
 
 #[test]
-fn a_watch_on_an_agent_falls_silent_and_the_next_call_is_turned_away() {
-    silent_and_failing("away-pushed", false, Some(TURNED_AWAY));
+fn a_drain_arrives_after_a_silent_agent_watch_and_a_rejected_call() {
+    assert_drain_after_failures("away-pushed", false, Some(REJECTION));
 }
 
-// A list begins and trickles on without ever ending. It is no sign of life: the watch is given up in time.
+// A list starts and trickles in without ending. That is no sign of life: the broker must give the watch up
+// in time.
 #[test]
-fn a_list_that_never_ends_is_given_up() {
-    let (harness, mut open) = told("trickle", |_| {});
+fn a_list_that_never_ends_times_out() {
+    let (harness, mut open) = start_with_list("trickle", |_| {});
     let since = Instant::now();
     open.write_raw("1\r\n{\r\n");
     while !open.is_closed() {
         let _ = std::io::Write::write_all(&mut open.stream, b"1\r\n \r\n");
-        assert!(since.elapsed() < HANG_TIMEOUT, "it is not given up");
+        assert!(since.elapsed() < HANG_TIMEOUT, "the watch is not given up");
         harness.wait_until_input_processed();
     }
     let mut first = harness.discovery.accept_call();
     first.write_raw(&format!("{WATCH_RESPONSE_HEAD}1\r\n{{\r\n"));
-    wait_until("the first list of a watch is waited for without end", || first.is_closed());
+    wait_until("the wait for the first list of a watch does not time out", || first.is_closed());
     let mut call = harness.discovery.accept_call();
-    drains_in_time(&harness, &mut call, since);
+    assert_drain_in_time(&harness, &mut call, since);
 }
 
-// A discovery that sends without a pause keeps the loop from nothing: clients are served meanwhile.
+// A discovery that sends continuously must not block the event loop: clients are served meanwhile.
 #[test]
-fn a_discovery_that_floods_holds_nobody_up() {
-    let (harness, mut open) = told("flood", |_| {});
+fn a_flooding_discovery_does_not_block_clients() {
+    let (harness, mut open) = start_with_list("flood", |_| {});
     let flood = std::thread::spawn(move || {
         let junk = "800\r\n".to_owned() + &" ".repeat(0x800) + "\r\n";
-        // The list never ends, and the watch is given up.
+        // The list never ends, and the broker gives the watch up.
         open.write_raw("1\r\n{\r\n");
         while std::io::Write::write_all(&mut open.stream, junk.as_bytes()).is_ok() {}
     });
@@ -120,31 +123,32 @@
         harness.wait_until_input_processed();
         served += 1;
     }
-    flood.join().expect("its connection was reset");
-    assert!(served > 3, "{served} answers while it flooded");
+    flood.join().expect("ends when its connection is closed");
+    assert!(served > 3, "{served} responses during the flood");
 }
 
-// Discovery turned three hundred brokers away for a while. Once it can be reached it is asked again in time, however
-// long the back-off had grown.
+// Discovery rejected calls of three hundred brokers for a while. Once it answers again, the broker must
+// call in time, however long its back-off had become.
 #[test]
-fn a_discovery_that_turned_callers_away_is_asked_again_in_time() {
-    let (harness, open) = told("away", |harness| {
-        asked_for(harness);
+fn a_discovery_that_rejected_calls_is_called_again_in_time() {
+    let (harness, open) = start_with_list("away", |harness| {
+        set_on_request_mode(harness);
         harness.set_config("/settings/balancers", json!(300));
     });
     drop(open);
     for _ in 0..3 {
-        harness.discovery.accept_call().write_raw(TURNED_AWAY);
+        harness.discovery.accept_call().write_raw(REJECTION);
     }
     let since = Instant::now();
     let mut call = harness.discovery.accept_call();
-    drains_in_time(&harness, &mut call, since);
+    assert_drain_in_time(&harness, &mut call, since);
 }
 
-// An older list comes after a newer one, over another watch: what drains in the newer one is not sent to.
+// An older list arrives after a newer one, on another watch: no part is sent to a server that drains in the
+// newer list.
 #[test]
-fn an_older_list_after_a_newer_one_undoes_no_drain() {
-    let (harness, mut open) = told("older", |_| {});
+fn an_older_list_does_not_revert_a_drain() {
+    let (harness, mut open) = start_with_list("older", |_| {});
     open.send_list(&harness.server_list(5, 0, "draining"));
     harness.wait_for_log("version 5, 1 up, 1 draining");
     drop(open);
@@ -162,11 +166,12 @@
     }
 }
 
-// Old and new discovery both answer around SIGHUP: the broker is held while the list of old is on its way and the file
-// moves discovery. What the new one says holds, and the old one's list, which is read first or never, undoes nothing.
+// Two discovery services answer around a SIGHUP: the broker is suspended while a list of the old one is in
+// flight and the configuration switches to the new one. The new one's list applies, and the old one's,
+// which is read first or never, reverts nothing.
 #[test]
-fn a_list_on_its_way_from_the_discovery_of_old_undoes_nothing() {
-    let (mut harness, mut old) = told("moved", |_| {});
+fn a_list_in_flight_from_the_previous_discovery_reverts_nothing() {
+    let (mut harness, mut old) = start_with_list("moved", |_| {});
     let new = crate::harness::Discovery::new();
     harness.set_config("/discovery", json!(new.address.to_string()));
     harness.suspend();
@@ -183,10 +188,10 @@
     assert_eq!(harness.servers[1].accept().next_part(), "q1.0");
 }
 
-// A discovery whose answer has neither chunks nor a length: its lists are read as they come, and a reset in the middle
-// of one is no end of it.
+// The response of discovery has neither chunked encoding nor a content length. Its lists are applied as
+// they arrive, and a reset in the middle of a list does not complete it.
 #[test]
-fn an_answer_without_length_brings_lists_and_its_reset_ends_none() {
+fn lists_without_content_length_apply_and_a_reset_completes_none() {
     let mut harness = Harness::new("plain", 2);
     harness.set_config("/settings/extra/width", json!(2));
     harness.start();
@@ -201,12 +206,12 @@
     drop(call);
     let mut call = harness.discovery.accept_call();
     assert!(call.head.contains("index=2 "), "{}", call.head);
-    drains_in_time(&harness, &mut call, Instant::now());
+    assert_drain_in_time(&harness, &mut call, Instant::now());
 }
 
-// A drain is told while a part waits for a connection to that server to come up: the part is not written there.
+// A drain arrives while a part waits for a connection to that server. The part must not be sent there.
 #[test]
-fn a_drain_takes_back_what_waits_for_a_connection() {
+fn a_drain_withdraws_parts_that_wait_for_a_connection() {
     let mut harness = Harness::new("waits", 1);
     harness.set_config("/settings/safety/drainGraceNs", json!(2_000_000_000_u64));
     harness.servers[0].block_connects();
@@ -219,7 +224,8 @@
     client.send_query("search", "r1", 0);
     harness.servers[0].wait_for_connect_attempt();
     call.send_list(&harness.server_list(3, 0, "draining"));
-    // Its one holder is gone: the query ends, and the server is let in to see what comes.
+    // The only server of the shard is gone, so the query ends. Connections are then allowed, to see what is
+    // sent.
     assert_eq!(client.read_status(), 503);
     harness.servers[0].allow_connects();
     call.send_list(&harness.server_list(4, 0, "up"));
@@ -228,10 +234,10 @@
     assert_eq!(harness.servers[0].accept().next_part(), "r2.0");
 }
 
-// A query and the word that its one server is gone are in the sockets when the broker looks, the query first: the step
-// knows both, and nothing is sent.
+// A query and a list that removes its only server are in the sockets when the broker reads, the query
+// first. The step sees both, and nothing is sent.
 #[test]
-fn a_drain_and_a_query_in_one_gathering() {
+fn a_removal_and_a_query_in_one_step() {
     let mut harness = Harness::new("gathering", 1);
     harness.start();
     let mut call = harness.discovery.accept_call();
--- a/tests/crossings/main.rs
+++ b/tests/crossings/main.rs
@@ -1,4 +1,5 @@
-//! Where two events can cross: the rows of `docs/design/crossings.md`, each on real sockets with the crossing forced.
+//! Races between two events: the cases of `docs/design/crossings.md`. Each test uses real sockets and
+//! forces the order of the events.
 
 mod harness;
 #[path = "../program/mod.rs"]
--- a/tests/crossings/settings.rs
+++ b/tests/crossings/settings.rs
@@ -1,5 +1,5 @@
-//! Other customers' settings: drawn within what the protocol's page allows, each with the program started on them; and
-//! settings that can't be used, each refused with its key and the reason.
+//! Settings of other sites: random ones within the limits of the protocol, each of which the broker is
+//! started with; and unusable ones, each of which must be rejected with its key and the reason.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,19 +11,19 @@
 
 use crate::harness::{Harness, server_entry};
 
-/// A tile server that answers each part at once, with its own id.
-fn serves() -> SocketAddr {
+/// Starts a tile server that answers each part at once with the part's own id. Returns its address.
+fn start_tile_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            thread::spawn(move || answer(stream));
+            thread::spawn(move || answer_parts(stream));
         }
     });
     address
 }
 
-fn answer(mut stream: TcpStream) {
+fn answer_parts(mut stream: TcpStream) {
     let mut length = [0; 4];
     while stream.read_exact(&mut length).is_ok() {
         let mut frame = vec![0; u32::from_be_bytes(length) as usize];
@@ -37,11 +37,10 @@
             _ => continue,
         };
         let mut rest = &frame[1..];
-        while let (true, Some((head, behind))) = (answers.is_empty() || rest.len() > 1, rest.split_once('\n'))
-        {
-            let words: Vec<&str> = head.split(' ').collect();
-            answers.push(format!("a{} served 1 -\n{}", words[0], words[0]));
-            rest = &behind[words[3].parse::<usize>().expect("a length")..];
+        while let (true, Some((head, tail))) = (answers.is_empty() || rest.len() > 1, rest.split_once('\n')) {
+            let fields: Vec<&str> = head.split(' ').collect();
+            answers.push(format!("a{} served 1 -\n{}", fields[0], fields[0]));
+            rest = &tail[fields[3].parse::<usize>().expect("a length")..];
         }
         for answer in answers {
             let bytes =
@@ -53,44 +52,46 @@
     }
 }
 
-/// Between these, drawn by its order of magnitude.
-fn span(rng: &mut ChaCha8Rng, least_ms: f64, most_ms: f64) -> u64 {
-    (1e6 * (rng.random_range(least_ms.ln()..most_ms.ln())).exp()) as u64
+/// A random duration between these bounds, log-uniformly distributed, in nanoseconds.
+fn random_duration(rng: &mut ChaCha8Rng, min_ms: f64, max_ms: f64) -> u64 {
+    (1e6 * (rng.random_range(min_ms.ln()..max_ms.ln())).exp()) as u64
 }
 
-fn one<'a>(rng: &mut ChaCha8Rng, of: &[&'a str]) -> &'a str {
-    of[rng.random_range(0..of.len())]
+fn choose<'a>(rng: &mut ChaCha8Rng, options: &[&'a str]) -> &'a str {
+    options[rng.random_range(0..options.len())]
 }
 
-/// Settings as another customer might have them.
-fn drawn(rng: &mut ChaCha8Rng, servers: u32) -> Value {
+/// Random settings for this number of servers.
+fn random_settings(rng: &mut ChaCha8Rng, servers: u32) -> Value {
     let names = ["probe-run", "ledger", "a", "Ünsal", "x_1", "long-name-of-a-class"];
     let classes = rng.random_range(1..=4);
-    let each = |rng: &mut ChaCha8Rng, least: f64| {
-        (0..classes).map(|_| rng.random_range(least..=1.0)).collect::<Vec<f64>>()
+    let each = |rng: &mut ChaCha8Rng, min: f64| {
+        (0..classes).map(|_| rng.random_range(min..=1.0)).collect::<Vec<f64>>()
     };
     let profiles: Vec<Value> = (0..classes)
         .map(|class| {
-            let deadline = span(rng, 1500.0, 600_000.0);
-            let mut profile = json!({"name": names[class], "aimNs": deadline.min(span(rng, 1000.0, 60_000.0)),
+            let deadline = random_duration(rng, 1500.0, 600_000.0);
+            let mut profile = json!({"name": names[class],
+                "aimNs": deadline.min(random_duration(rng, 1000.0, 60_000.0)),
                 "deadlineNs": deadline, "credit": rng.random_range(0.0..50.0), "group": "all",
-                "effect": one(rng, &["safe", "keyed", "unsafe"])});
+                "effect": choose(rng, &["safe", "keyed", "unsafe"])});
             if rng.random() {
                 profile["lateShare"] = json!(rng.random::<f64>());
             }
             if profile["effect"] == "keyed" {
-                profile["windowNs"] = json!(span(rng, 1.0, 60_000.0));
+                profile["windowNs"] = json!(random_duration(rng, 1.0, 60_000.0));
             }
             profile
         })
         .collect();
     let need = each(rng, 0.3);
-    let mut limits = json!({"cancel": rng.random::<bool>(), "maxAttempts": rng.random_range(1..8), "secondCopies": rng.random::<bool>()});
-    let mut safety = json!({"coldFrom": rng.random::<f64>(), "coldNs": span(rng, 0.001, 60_000.0),
-        "fallMultiple": rng.random_range(0.5..5.0), "overloadForNs": span(rng, 1.0, 10_000.0)});
-    let mut optional = |of: &mut Value, key: &str, value: Value| {
+    let mut limits = json!({"cancel": rng.random::<bool>(), "maxAttempts": rng.random_range(1..8),
+        "secondCopies": rng.random::<bool>()});
+    let mut safety = json!({"coldFrom": rng.random::<f64>(), "coldNs": random_duration(rng, 0.001, 60_000.0),
+        "fallMultiple": rng.random_range(0.5..5.0), "overloadForNs": random_duration(rng, 1.0, 10_000.0)});
+    let mut optional = |object: &mut Value, key: &str, value: Value| {
         if rng.random() {
-            of[key] = value;
+            object[key] = value;
         }
     };
     optional(&mut limits, "connIdleNs", json!(300_000_000));
@@ -103,8 +104,9 @@
     optional(&mut limits, "peers", json!(true));
     optional(&mut safety, "drainGraceNs", json!(1_000_000));
     optional(&mut safety, "budgetSpanNs", json!(2_000_000_000));
-    let mode = one(rng, &["pushed", "on_request"]);
-    let mut settings = json!({"balancers": rng.random_range(1..400), "granularityNs": span(rng, 1.0, 20.0),
+    let mode = choose(rng, &["pushed", "on_request"]);
+    let mut settings = json!({"balancers": rng.random_range(1..400),
+        "granularityNs": random_duration(rng, 1.0, 20.0),
         "registryMode": mode, "profiles": profiles,
         "extra": {"batch": rng.random_range(1..10), "callNs": rng.random_range(0..90_000_000),
             "followUp": vec![0; classes], "incompleteWorth": each(rng, 0.0), "needByClass": need,
@@ -125,17 +127,19 @@
     settings
 }
 
-// Guards customers whose settings nobody has played: the program starts on each draw, takes queries of each class and
-// answers each with what tile servers gave, as at least one server of each shard runs and has time.
+// Guards sites whose settings no simulation has covered: the broker must start on each random
+// configuration, accept queries of each class and answer each with the values of the tile servers, as at
+// least one server of each shard is up and has time.
 #[test]
-fn the_program_serves_on_settings_as_others_have_them() {
+fn the_broker_serves_on_random_valid_settings() {
     for seed in 0..24 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut harness = Harness::new(&format!("drawn-{seed}"), 0);
         let servers = rng.random_range(1..4);
-        let lines = (0..servers).map(|cell| server_entry(&format!("s{cell}"), serves(), cell, "up"));
-        harness.config["known"]["endpoints"] = lines.collect();
-        let settings = drawn(&mut rng, servers);
+        let entries =
+            (0..servers).map(|cell| server_entry(&format!("s{cell}"), start_tile_server(), cell, "up"));
+        harness.config["known"]["endpoints"] = entries.collect();
+        let settings = random_settings(&mut rng, servers);
         harness.config["settings"] = settings.clone();
         harness.start();
         let mut client = harness.client();
@@ -145,7 +149,8 @@
             let body =
                 r#"{"tablets":[{"tablet":0,"fraction":0.5},{"tablet":7,"fraction":0.5}],"statement":"t"}"#;
             client.send(&format!(
-                "POST /{class} HTTP/1.1\r\nX-Request-ID: r{number}\r\nX-Timeout: 60000m\r\nIdempotency-Key: k{number}\r\n\
+                "POST /{class} HTTP/1.1\r\nX-Request-ID: r{number}\r\nX-Timeout: 60000m\r\n\
+                 Idempotency-Key: k{number}\r\n\
                  {tenant}Content-Length: {}\r\n\r\n{body}",
                 body.len()
             ));
@@ -161,11 +166,11 @@
     }
 }
 
-// Guards operators against a start on settings that can't be true, and against a message that names a field of the
-// program's in place of the key that they wrote.
+// Guards operators against a start on invalid settings, and against an error message that names an internal
+// field instead of the key in their configuration.
 #[test]
-fn settings_that_cant_be_used_are_refused_with_key_and_reason() {
-    for (pointer, value, words) in [
+fn invalid_settings_are_rejected_with_key_and_reason() {
+    for (pointer, value, message) in [
         ("/settings/balancers", json!(0), "settings.balancers: must be at least 1"),
         ("/settings/balancers", json!(-1), "settings.balancers: "),
         ("/settings/profiles", json!([]), "settings.profiles: must not be empty"),
@@ -201,6 +206,6 @@
         harness.spawn();
         assert_eq!(harness.wait_for_exit(), Some(1), "{pointer}");
         let log = harness.remaining_log();
-        assert!(log.iter().any(|line| line.contains(words)), "{words}: {log:?}");
+        assert!(log.iter().any(|line| line.contains(message)), "{message}: {log:?}");
     }
 }
--- a/tests/crossings/shutdown.rs
+++ b/tests/crossings/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process, and of connections.
+//! Shutdown of the process and the end of connections.
 
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -7,34 +7,36 @@
 
 use crate::harness::{Harness, request, wait_until, wait_until_delivered};
 
-/// After SIGTERM new connections are taken for so long.
-const LAST_LISTENING: Duration = Duration::from_millis(500);
+/// How long new connections are accepted after SIGTERM.
+const LISTEN_AFTER_SIGTERM: Duration = Duration::from_millis(500);
 
-// A request whose answer has more time than the broker has left gets its answer before SIGKILL may come.
+// A query with more time left than the broker has after SIGTERM must be answered before a SIGKILL may
+// follow.
 #[test]
-fn what_was_taken_is_answered_before_the_broker_may_be_killed() {
+fn accepted_queries_are_answered_before_a_kill() {
     let mut harness = Harness::new("hung", 1);
     harness.start();
     let mut client = harness.client();
     client.send_query("flag", "r1", 0);
     let mut server = harness.servers[0].accept();
     assert_eq!(server.next_part(), "r1.0");
-    let begun = Instant::now();
+    let started = Instant::now();
     harness.signal("TERM");
     let status = client.read_status();
-    // 3 s and 0.7 s: the longest deadline counts as 3 s where it is longer.
-    assert!(begun.elapsed() < Duration::from_millis(3700), "after {:?}", begun.elapsed());
-    assert_eq!(status, 502, "it may have run");
+    // 3 s and 0.7 s: a longest deadline of more than 3 s counts as 3 s.
+    assert!(started.elapsed() < Duration::from_millis(3700), "after {:?}", started.elapsed());
+    assert_eq!(status, 502, "the part may have run");
     client.expect_eof();
     assert_eq!(harness.wait_for_exit(), Some(0));
 }
 
-// SIGTERM before clients may come: nothing was taken, so it ends at once and never listens.
+// SIGTERM before the broker listens to clients: it has accepted nothing, so it exits at once and never
+// listens.
 #[test]
-fn a_broker_that_is_told_to_end_before_it_is_ready_never_listens() {
+fn a_broker_stopped_before_it_is_ready_never_listens() {
     let mut harness = Harness::new("early", 1);
     harness.spawn();
-    // The agent takes the call and says nothing: the start waits for it.
+    // The agent accepts the call and does not answer; the start waits for it.
     let _call = harness.discovery.accept_call();
     harness.suspend();
     harness.signal("TERM");
@@ -44,10 +46,10 @@
     assert!(!log.iter().any(|line| line.contains(" listens ")), "{log:?}");
 }
 
-// Bytes that nobody will read lie behind the last request of a connection when the process ends. The answer and the
-// connection's end arrive, and no reset.
+// Unread bytes follow the last request of a connection when the process exits. The client must receive the
+// response and an orderly close, not a reset.
 #[test]
-fn the_last_answer_is_not_lost_to_bytes_behind_its_request() {
+fn the_last_response_is_not_lost_to_unread_bytes() {
     let mut harness = Harness::new("behind", 1);
     harness.start();
     let mut client = harness.client();
@@ -57,7 +59,7 @@
     harness.signal("TERM");
     harness.wait_for_log("stopping");
     harness.suspend();
-    // The answer comes first, so that what lies behind the request is more than is read with it.
+    // The answer is sent first, so that the bytes after the request are more than the broker reads with it.
     server.serve("r1.0", "v");
     client.send(&"x".repeat(60_000));
     server.wait_until_delivered();
@@ -69,23 +71,23 @@
     assert_eq!(harness.wait_for_exit(), Some(0));
 }
 
-// A client rests on its connection until the broker ends it, and asks in that very moment: what was in before the end
-// is served, and what comes after it is never sent on.
+// A client keeps an idle connection until the broker closes it and sends a query at that moment. Only a
+// query that arrived before the close is served; a later one must never be sent to a server.
 #[test]
-fn a_request_that_crosses_the_brokers_end_is_never_sent_on() {
+fn a_query_after_the_close_is_never_sent() {
     let mut harness = Harness::new("crosses", 1);
     harness.start();
-    let mut resting = harness.client();
-    resting.send("GET /up HTTP/1.1\r\n\r\n");
-    assert_eq!(resting.read_status(), 200);
+    let mut idle = harness.client();
+    idle.send("GET /up HTTP/1.1\r\n\r\n");
+    assert_eq!(idle.read_status(), 200);
     let mut open = harness.client();
     open.send_query("search", "open", 0);
     let mut server = harness.servers[0].accept();
     assert_eq!(server.next_part(), "open.0");
     harness.signal("TERM");
-    resting.expect_eof();
-    // The broker goes on for the open query: it reads what comes now, and must not take it.
-    let _ = resting.stream.write_all(request("search", "late", &[0], 50_000).as_bytes());
+    idle.expect_eof();
+    // The broker keeps running for the open query. It reads the late query and must not start it.
+    let _ = idle.stream.write_all(request("search", "late", &[0], 50_000).as_bytes());
     server.serve("open.0", "v");
     assert_eq!(open.read_status(), 200);
     open.expect_eof();
@@ -93,9 +95,9 @@
     server.expect_closed();
 }
 
-// The time between two requests counts from the answer: a client whose query took long may ask again after it.
+// The idle timeout starts at the response: after a slow query the client may send another one.
 #[test]
-fn a_connection_rests_from_its_answer_on() {
+fn the_idle_timeout_starts_at_the_response() {
     let mut harness = Harness::new("rests", 1);
     harness.set_class_option("aimNs", &json!(30_000_000_000_u64));
     harness.start();
@@ -103,23 +105,24 @@
     client.send_query("search", "r1", 0);
     let mut server = harness.servers[0].accept();
     assert_eq!(server.next_part(), "r1.0");
-    // Each of these is told so after 2 s: 6 s pass, more than a connection may rest.
-    let unfinished = || {
+    // Each of these gets a 408 after 2 s. Three take 6 s, longer than the idle timeout.
+    let wait_two_seconds = || {
         let mut slow = harness.client();
         slow.send("POST /search HTTP/1.1\r\n");
         assert_eq!(slow.read_status(), 408);
     };
-    (0..3).for_each(|_| unfinished());
+    (0..3).for_each(|_| wait_two_seconds());
     server.serve("r1.0", "v");
     assert_eq!(client.read_status(), 200);
-    unfinished();
+    wait_two_seconds();
     client.send("GET /up HTTP/1.1\r\n\r\n");
     assert_eq!(client.read_status(), 200);
 }
 
-// A client is slow to read an answer that is longer than the system holds, and its query took long: it gets the whole.
+// A client slowly reads a response that is larger than the socket buffers, after a slow query. It must
+// receive all of it.
 #[test]
-fn an_answer_that_is_read_slowly_is_not_cut() {
+fn a_response_that_is_read_slowly_is_not_truncated() {
     let mut harness = Harness::new("slowly", 1);
     harness.set_config("/settings/extra/slices", json!(150));
     harness.set_config("/settings/limits/maxOpen", json!(1000));
@@ -131,24 +134,24 @@
     client.send(&request("search", "r1", &shards, 50_000));
     let mut server = harness.servers[0].accept();
     let parts: Vec<String> = shards.iter().map(|_| server.next_part()).collect();
-    // Each takes 2 s.
-    let unfinished = || {
+    // Takes 2 s.
+    let wait_two_seconds = || {
         let mut slow = harness.client();
         slow.send("POST /search HTTP/1.1\r\n");
         assert_eq!(slow.read_status(), 408);
     };
-    unfinished();
+    wait_two_seconds();
     let value = "v".repeat(60_000);
     parts.iter().for_each(|part| server.serve(part, &value));
-    unfinished();
+    wait_two_seconds();
     let (_, body) = client.read_response();
     assert!(body.len() > shards.len() * value.len() && body.ends_with("]}"), "{} bytes", body.len());
 }
 
-// Half a request is in when SIGTERM comes, and the other half comes after it: it is taken and answered, and what lies
-// behind it is not.
+// Half a request has arrived at SIGTERM and the other half follows: it must be served, and the request
+// after it must not.
 #[test]
-fn half_a_request_at_sigterm_is_finished() {
+fn a_partial_request_at_sigterm_is_served() {
     let mut harness = Harness::new("half", 1);
     harness.start();
     let mut client = harness.client();
@@ -169,29 +172,29 @@
     server.expect_closed();
 }
 
-// Whoever looks why a broker was slow to be ready reads it in its log.
+// Operators find in the log why a broker was slow to become ready.
 #[test]
-fn a_start_says_where_its_time_went() {
+fn the_start_time_is_logged_by_phase() {
     let mut harness = Harness::new("says", 1);
     harness.start();
     let line = harness.wait_for_log("started in ");
     assert!(line.contains(" for the first list (last known)") && line.contains(" to listen"), "{line}");
 }
 
-// What was seen: a request on a connection that the broker had just taken found it closed, with no answer. Why: where the
-// classes' aims leave no time to serve on, the broker ended all connections that rested in the moment in which it
-// stopped listening, and with them those that it had taken in that moment, whose first request was on its way.
+// Regression test: a request on a newly accepted connection found it closed, without a response. If the
+// aims of the classes leave no time to keep idle connections, the broker closed all of them as it stopped
+// listening, including those accepted at that moment whose first request was still on its way.
 #[test]
-fn a_client_that_was_taken_as_the_listening_ended_may_still_ask() {
+fn a_client_accepted_as_listening_ends_may_still_send_a_request() {
     let mut harness = Harness::new("last-taken", 1);
     harness.start();
     harness.signal("TERM");
     harness.wait_for_log("stopping");
     harness.suspend();
-    // The time for which it listens passes while it is held, with a client in its queue.
-    let held = Instant::now();
+    // The listening time passes while the broker is suspended with a client in its accept queue.
+    let suspended = Instant::now();
     let mut client = harness.client();
-    wait_until("time stands still", || held.elapsed() > LAST_LISTENING);
+    wait_until("the time does not pass", || suspended.elapsed() > LISTEN_AFTER_SIGTERM);
     harness.resume();
     harness.wait_for_log("stopping, 1 clients left");
     client.send("GET /up HTTP/1.1\r\n\r\n");
--- a/tests/operations/drain.rs
+++ b/tests/operations/drain.rs
@@ -1,4 +1,4 @@
-//! Drains: clients are asked to leave, and nothing they have sent is lost.
+//! Drains: clients are asked to disconnect, and no request they have sent is lost.
 
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -6,50 +6,54 @@
 use serde_json::json;
 
 use crate::harness::{request, wait_until, wait_until_delivered};
-use crate::{UP, comes_back, drain, operated, readiness, resume, two_seconds_pass, up};
+use crate::{
+    UP, controlled_broker, readiness_status, start_drain, stop_drain, up_status, wait_two_seconds,
+    wait_until_ready,
+};
 
-/// Clients' connections have ended so long after a drain began.
+/// All client connections are closed within this time after the start of a drain.
 const DRAIN_TIME: Duration = Duration::from_secs(4);
-/// After the end of a drain the broker takes clients again within this time.
+/// The broker accepts queries again within this time after the end of a drain.
 const RESUME_TIME: Duration = Duration::from_secs(2);
-/// Longer than connections may rest in a drain.
-const MORE_THAN_REST: Duration = Duration::from_millis(1200);
+/// Longer than connections may stay idle in a drain.
+const LONGER_THAN_IDLE_TIME: Duration = Duration::from_millis(1200);
 
-// The loop may learn of the request before the drain: it says no all the same, from the answer to the call on.
+// The event loop may see the request before the drain. `/up` must still report not ready from the response
+// to the control request on.
 #[test]
-fn up_says_no_from_the_answer_to_the_drain_call_on() {
-    let mut harness = operated("at-once", 1);
+fn up_reports_unready_from_the_response_to_the_drain_request_on() {
+    let mut harness = controlled_broker("at-once", 1);
     harness.start();
     for _ in 0..50 {
         let mut open = harness.client();
         open.send(UP);
         let (head, _) = open.read_response();
         assert!(head.starts_with("HTTP/1.1 200 ") && !head.contains("Connection: close"), "{head}");
-        drain(&harness);
+        start_drain(&harness);
         open.send(UP);
         let (head, _) = open.read_response();
         assert!(head.starts_with("HTTP/1.1 503 ") && head.contains("\r\nConnection: close\r\n"), "{head}");
         open.expect_eof();
-        assert_eq!(up(&harness), 503);
-        // Neither call says anything new the second time.
-        drain(&harness);
-        resume(&harness);
-        resume(&harness);
+        assert_eq!(up_status(&harness), 503);
+        // Repeated control requests change nothing.
+        start_drain(&harness);
+        stop_drain(&harness);
+        stop_drain(&harness);
         let resumed = Instant::now();
-        comes_back(&harness);
+        wait_until_ready(&harness);
         assert!(resumed.elapsed() < RESUME_TIME, "after {:?}", resumed.elapsed());
     }
 }
 
 #[test]
-fn a_query_in_a_drain_is_served_and_its_connection_ends_with_the_answer() {
-    let mut harness = operated("served", 1);
+fn a_query_in_a_drain_is_served_and_its_connection_closed() {
+    let mut harness = controlled_broker("served", 1);
     harness.start();
     let mut before = harness.client();
     before.send_query("search", "before", 0);
     let mut server = harness.servers[0].accept();
     assert_eq!(server.next_part(), "before.0");
-    drain(&harness);
+    start_drain(&harness);
     let mut after = harness.client();
     after.send_query("search", "after", 0);
     assert_eq!(server.next_part(), "after.0");
@@ -61,23 +65,24 @@
     }
 }
 
-// The end is a half-close: what the client sends after it is read away, and never sent on.
+// The broker half-closes the connection: data that the client sends afterwards is read and discarded, and
+// never sent to a server.
 #[test]
-fn a_connection_that_rests_is_ended_and_what_comes_after_is_never_sent_on() {
-    let mut harness = operated("rests", 1);
+fn an_idle_connection_is_closed_and_later_queries_are_never_sent() {
+    let mut harness = controlled_broker("rests", 1);
     harness.start();
-    let mut resting = harness.client();
-    resting.send(UP);
-    assert_eq!(resting.read_status(), 200);
-    let mut fresh = harness.client();
+    let mut idle = harness.client();
+    idle.send(UP);
+    assert_eq!(idle.read_status(), 200);
+    let mut unused = harness.client();
     harness.wait_until_input_processed();
     let drained = Instant::now();
-    drain(&harness);
-    resting.expect_eof();
-    fresh.expect_eof();
+    start_drain(&harness);
+    idle.expect_eof();
+    unused.expect_eof();
     assert!(drained.elapsed() < DRAIN_TIME, "after {:?}", drained.elapsed());
-    // Nothing restarts, so the connection is still read.
-    resting.stream.write_all(request("search", "late", &[0], 50_000).as_bytes()).expect("written");
+    // The process keeps running, so the connection is still read.
+    idle.stream.write_all(request("search", "late", &[0], 50_000).as_bytes()).expect("written");
     harness.wait_until_input_processed();
     let mut next = harness.client();
     next.send_query("search", "next", 0);
@@ -85,38 +90,40 @@
     assert_eq!(server.next_part(), "next.0");
     server.serve("next.0", "v");
     assert_eq!(next.read_status(), 200);
-    resting.expect_eof();
-    assert!(!harness.has_ended());
+    idle.expect_eof();
+    assert!(!harness.has_exited());
 }
 
-// The broker is held until the time to rest is over, with a request in its socket: both are there when it goes on.
+// The broker is suspended until the idle time has passed, with a request in its socket: it sees both when
+// it resumes.
 #[test]
-fn a_request_in_the_moment_of_the_end_is_answered() {
-    let mut harness = operated("moment", 1);
+fn a_request_at_the_end_of_the_idle_time_is_answered() {
+    let mut harness = controlled_broker("moment", 1);
     harness.start();
-    let mut resting = harness.client();
-    resting.send(UP);
-    assert_eq!(resting.read_status(), 200);
-    drain(&harness);
-    assert_eq!(up(&harness), 503);
+    let mut idle = harness.client();
+    idle.send(UP);
+    assert_eq!(idle.read_status(), 200);
+    start_drain(&harness);
+    assert_eq!(up_status(&harness), 503);
     harness.suspend();
-    resting.send_query("search", "moment", 0);
-    wait_until_delivered(&resting.stream);
-    let held = Instant::now();
-    wait_until("time stands", || held.elapsed() >= MORE_THAN_REST);
+    idle.send_query("search", "moment", 0);
+    wait_until_delivered(&idle.stream);
+    let suspended = Instant::now();
+    wait_until("the time does not pass", || suspended.elapsed() >= LONGER_THAN_IDLE_TIME);
     harness.resume();
     let mut server = harness.servers[0].accept();
     assert_eq!(server.next_part(), "moment.0");
     server.serve("moment.0", "v");
-    let (head, _) = resting.read_response();
+    let (head, _) = idle.read_response();
     assert!(head.starts_with("HTTP/1.1 200 ") && head.contains("\r\nConnection: close\r\n"), "{head}");
-    resting.expect_eof();
+    idle.expect_eof();
 }
 
-// Drained or not when it is held: a request and the call for a drain are in the sockets together.
+// A request and the control request that starts a drain are in the sockets together; the broker may handle
+// either first.
 #[test]
-fn a_request_that_crosses_the_call_is_answered() {
-    let mut harness = operated("call", 1);
+fn a_request_concurrent_with_the_drain_request_is_answered() {
+    let mut harness = controlled_broker("call", 1);
     harness.start();
     let mut client = harness.client();
     client.send(UP);
@@ -138,19 +145,19 @@
 }
 
 #[test]
-fn half_a_request_at_the_end_of_those_that_rest_is_finished() {
-    let mut harness = operated("half", 1);
+fn a_partial_request_is_served_when_idle_connections_are_closed() {
+    let mut harness = controlled_broker("half", 1);
     harness.start();
-    let mut resting = harness.client();
-    resting.send(UP);
-    assert_eq!(resting.read_status(), 200);
-    drain(&harness);
+    let mut idle = harness.client();
+    idle.send(UP);
+    assert_eq!(idle.read_status(), 200);
+    start_drain(&harness);
     let mut client = harness.client();
-    let whole = request("search", "half", &[0], 50_000);
-    let (first, rest) = whole.split_at(40);
+    let text = request("search", "half", &[0], 50_000);
+    let (first, rest) = text.split_at(40);
     client.send(first);
     harness.wait_until_input_processed();
-    resting.expect_eof();
+    idle.expect_eof();
     client.send(rest);
     let mut server = harness.servers[0].accept();
     assert_eq!(server.next_part(), "half.0");
@@ -159,45 +166,45 @@
     client.expect_eof();
 }
 
-// The first drain's time for connections that rest is over in the second one's, or outside of any: it ends nothing.
+// The idle timer of the first drain fires during the second one or outside any: it must close nothing.
 #[test]
-fn drains_in_quick_turns_leave_the_last_one_alone() {
-    let mut harness = operated("turns", 1);
+fn timers_of_earlier_drains_do_not_affect_the_last_one() {
+    let mut harness = controlled_broker("turns", 1);
     harness.start();
-    let mut resting = harness.client();
-    resting.send(UP);
-    assert_eq!(resting.read_status(), 200);
+    let mut idle = harness.client();
+    idle.send(UP);
+    assert_eq!(idle.read_status(), 200);
     for _ in 0..3 {
-        drain(&harness);
-        assert_eq!(up(&harness), 503);
-        resume(&harness);
+        start_drain(&harness);
+        assert_eq!(up_status(&harness), 503);
+        stop_drain(&harness);
     }
-    two_seconds_pass(&harness);
-    resting.send(UP);
-    let (head, _) = resting.read_response();
+    wait_two_seconds(&harness);
+    idle.send(UP);
+    let (head, _) = idle.read_response();
     assert!(head.starts_with("HTTP/1.1 200 ") && !head.contains("Connection: close"), "{head}");
-    drain(&harness);
-    resume(&harness);
-    drain(&harness);
+    start_drain(&harness);
+    stop_drain(&harness);
+    start_drain(&harness);
     let drained = Instant::now();
-    resting.expect_eof();
+    idle.expect_eof();
     assert!(drained.elapsed() < DRAIN_TIME, "after {:?}", drained.elapsed());
-    assert_eq!((up(&harness), readiness(&harness)), (503, 503));
+    assert_eq!((up_status(&harness), readiness_status(&harness)), (503, 503));
 }
 
 #[test]
-fn sigterm_in_a_drain_ends_the_process_with_all_answered() {
-    let mut harness = operated("term", 1);
+fn sigterm_in_a_drain_answers_all_queries() {
+    let mut harness = controlled_broker("term", 1);
     harness.start();
     let mut client = harness.client();
     client.send_query("search", "open", 0);
     let mut server = harness.servers[0].accept();
     assert_eq!(server.next_part(), "open.0");
-    drain(&harness);
-    assert_eq!(up(&harness), 503);
+    start_drain(&harness);
+    assert_eq!(up_status(&harness), 503);
     harness.signal("TERM");
     harness.wait_for_log("stopping");
-    // It is too late for that.
+    // The broker is already stopping.
     assert_eq!(harness.control_request("PUT", "/ops/drain/stop").0, 409);
     server.serve("open.0", "v");
     let (head, _) = client.read_response();
@@ -208,28 +215,29 @@
 }
 
 #[test]
-fn sighup_in_a_drain_ends_no_drain() {
-    let mut harness = operated("hup", 1);
+fn sighup_does_not_end_a_drain() {
+    let mut harness = controlled_broker("hup", 1);
     harness.start();
-    drain(&harness);
+    start_drain(&harness);
     harness.set_config("/name", json!("other"));
     harness.reload();
     harness.wait_for_log("reload: name will change");
-    assert_eq!((up(&harness), readiness(&harness)), (503, 503));
-    resume(&harness);
-    comes_back(&harness);
+    assert_eq!((up_status(&harness), readiness_status(&harness)), (503, 503));
+    stop_drain(&harness);
+    wait_until_ready(&harness);
 }
 
-// Held with the call in its socket, the broker is drained before the first client: nobody is ever told yes.
+// With the drain request in its socket before the first list, the broker drains before its first client:
+// readiness and `/up` must never report ready.
 #[test]
-fn a_drain_asked_before_the_first_list_holds_from_the_first_client_on() {
-    let mut harness = operated("early", 1);
+fn a_drain_requested_before_the_first_list_applies_from_the_first_client_on() {
+    let mut harness = controlled_broker("early", 1);
     harness.spawn();
     let _call = harness.discovery.accept_call();
-    drain(&harness);
-    assert_eq!(readiness(&harness), 503);
+    start_drain(&harness);
+    assert_eq!(readiness_status(&harness), 503);
     harness.wait_until_listening();
-    assert_eq!((up(&harness), readiness(&harness)), (503, 503));
-    resume(&harness);
-    comes_back(&harness);
+    assert_eq!((up_status(&harness), readiness_status(&harness)), (503, 503));
+    stop_drain(&harness);
+    wait_until_ready(&harness);
 }
