--- a/tests/crossings/attempts.rs
+++ b/tests/crossings/attempts.rs
@@ -26,11 +26,11 @@
     harness.servers[0].wait_for_connect_attempt();
     // The connection is established by the retransmitted SYN, 1 s after the first one.
     harness.servers[0].allow_connects();
-    let mut late = harness.servers[0].accept();
+    let mut reconnected = harness.servers[0].accept();
     assert_eq!(client.read_status(), 502, "the part may have run and must not be retried");
     let mut next = harness.client();
     next.send_query("flag", "next", 0);
-    assert_eq!(late.next_part(), "next.0");
+    assert_eq!(reconnected.next_part(), "next.0");
 }
 
 // The same with a window that is long enough: the retry is sent as soon as the connection is established.
@@ -47,9 +47,9 @@
     server.reset();
     harness.servers[0].wait_for_connect_attempt();
     harness.servers[0].allow_connects();
-    let mut late = harness.servers[0].accept();
-    assert_eq!(late.next_part(), "keyed.0");
-    late.serve("keyed.0", "v");
+    let mut reconnected = harness.servers[0].accept();
+    assert_eq!(reconnected.next_part(), "keyed.0");
+    reconnected.serve("keyed.0", "v");
     assert_eq!(client.read_status(), 200);
 }
 
@@ -82,7 +82,7 @@
 // broker reads. The complete answer counts; the truncated one completes nothing.
 #[test]
 fn a_complete_answer_before_the_close_counts() {
-    let mut harness = Harness::new("last-words", 1);
+    let mut harness = Harness::new("answer-before-close", 1);
     harness.start();
     let mut client = harness.client();
     client.send_query("search", "first", 0);
@@ -99,18 +99,18 @@
     server.close();
     harness.resume();
     assert_eq!(client.read_status(), 200);
-    let mut again = harness.servers[0].accept();
-    assert_eq!(again.next_part(), "second.0");
-    again.serve("second.0", "w");
+    let mut reconnected = harness.servers[0].accept();
+    assert_eq!(reconnected.next_part(), "second.0");
+    reconnected.serve("second.0", "w");
     let (_, body) = other.read_response();
     assert!(body.contains("\"w\""), "{body}");
 }
 
 // The broker cancels an attempt whose answer is already in the socket. The answer must be ignored, and the
-// part must not be sent again.
+// part must not be sent reconnected.
 #[test]
 fn an_answer_to_a_cancelled_attempt_is_ignored() {
-    let mut harness = Harness::new("given-up", 1);
+    let mut harness = Harness::new("cancelled", 1);
     harness.start();
     let mut client = harness.client();
     client.send_query("search", "gone", 0);
@@ -123,7 +123,7 @@
     harness.resume();
     let mut next = harness.client();
     next.send_query("search", "next", 0);
-    // Depending on what the broker reads first, it may send a cancel frame, but not the part again.
+    // Depending on what the broker reads first, it may send a cancel frame, but not the part reconnected.
     let mut frame = server.next_frame();
     if frame == "cgone.0" {
         frame = server.next_frame();
--- a/tests/crossings/client_disconnects.rs
+++ b/tests/crossings/client_disconnects.rs
@@ -13,16 +13,16 @@
     harness.set_config("/settings/limits/cancel", json!(cancel));
     harness.servers[0].block_connects();
     harness.start();
-    let mut gone = harness.client();
-    gone.send_query("search", "gone", 0);
+    let mut leaving = harness.client();
+    leaving.send_query("search", "gone", 0);
     harness.servers[0].wait_for_connect_attempt();
-    gone.close();
+    leaving.close();
     harness.wait_until_input_processed();
     // Once a part of a later query is sent, the broker has processed the disconnect.
     let mut other = harness.client();
     other.send_query("search", "other", 1);
-    let mut elsewhere = harness.servers[1].accept();
-    assert_eq!(elsewhere.next_part(), "other.1");
+    let mut other_server = harness.servers[1].accept();
+    assert_eq!(other_server.next_part(), "other.1");
     harness.servers[0].allow_connects();
     let mut next = harness.client();
     next.send_query("search", "next", 0);
@@ -31,7 +31,7 @@
 
 #[test]
 fn no_part_is_sent_for_a_client_that_disconnects_while_connecting() {
-    disconnects_while_connecting("coming-up", true);
+    disconnects_while_connecting("cancel", true);
 }
 
 // Parts that were not sent yet are withdrawn even if the settings do not allow cancelling: they never
@@ -47,15 +47,15 @@
 #[test]
 fn no_part_is_sent_for_a_client_that_sends_much_and_closes() {
     for (round, junk) in [0, 40_000, 120_000].into_iter().enumerate() {
-        let mut harness = Harness::new(&format!("much-{round}"), 1);
+        let mut harness = Harness::new(&format!("excess-{round}"), 1);
         harness.start();
-        let mut gone = harness.client();
+        let mut leaving = harness.client();
         harness.wait_until_input_processed();
         harness.suspend();
-        gone.send_query("search", "gone", 0);
-        gone.send(&"x".repeat(junk));
-        wait_until_delivered(&gone.stream);
-        gone.close();
+        leaving.send_query("search", "gone", 0);
+        leaving.send(&"x".repeat(junk));
+        wait_until_delivered(&leaving.stream);
+        leaving.close();
         let mut next = harness.client();
         next.send_query("search", "next", 0);
         harness.resume();
@@ -67,15 +67,15 @@
 // must still detect the reset by the client, and must not busy-loop.
 #[test]
 fn a_reset_behind_excess_data_is_detected() {
-    let mut harness = Harness::new("too-much", 1);
+    let mut harness = Harness::new("reset", 1);
     harness.start();
-    let mut gone = harness.client();
-    gone.send_query("search", "gone", 0);
+    let mut leaving = harness.client();
+    leaving.send_query("search", "gone", 0);
     let mut server = harness.servers[0].accept();
     assert_eq!(server.next_part(), "gone.0");
-    gone.stream.set_write_timeout(Some(HANG_TIMEOUT)).expect("set");
-    gone.stream.write_all(&[b'x'; 200_000]).expect("written");
-    gone.reset();
+    leaving.stream.set_write_timeout(Some(HANG_TIMEOUT)).expect("set");
+    leaving.stream.write_all(&[b'x'; 200_000]).expect("written");
+    leaving.reset();
     assert_eq!(server.next_frame(), "cgone.0");
 }
 
@@ -83,7 +83,7 @@
 // The broker sees the new connection first; the request id must be free all the same.
 #[test]
 fn a_request_id_can_be_reused_after_a_reconnect() {
-    let mut harness = Harness::new("once-more", 1);
+    let mut harness = Harness::new("reconnect", 1);
     // On a busy machine the broker may be suspended for long, which must not make it suspect the
     // connection.
     harness.set_class_option("aimNs", &json!(60_000_000_000_u64));
@@ -109,7 +109,7 @@
 // it. A client that shuts down its sending side counts as disconnected.
 #[test]
 fn a_half_close_counts_as_a_disconnect() {
-    let mut harness = Harness::new("sending", 1);
+    let mut harness = Harness::new("half-close", 1);
     harness.start();
     let mut client = harness.client();
     client.send_query("search", "gone", 0);
--- a/tests/crossings/floods.rs
+++ b/tests/crossings/floods.rs
@@ -41,7 +41,7 @@
 // As many clients as the limit allows: none of them is closed while no other client waits.
 #[test]
 fn no_client_is_evicted_while_none_waits() {
-    let mut harness = Harness::new("full-house", 1);
+    let mut harness = Harness::new("no-eviction", 1);
     harness.set_config("/limits/sockets", json!(64));
     harness.start();
     // Suspended meanwhile, the broker accepts all of them in one loop iteration.
@@ -58,7 +58,7 @@
 // first.
 #[test]
 fn an_evicted_client_gets_a_response() {
-    let mut harness = Harness::new("room", 1);
+    let mut harness = Harness::new("eviction", 1);
     harness.set_config("/limits/sockets", json!(64));
     harness.start();
     // The limit on clients: 64 descriptors minus 24 for everything else and a quarter for servers.
--- a/tests/crossings/harness.rs
+++ b/tests/crossings/harness.rs
@@ -468,7 +468,7 @@
     /// Creates a harness with this many tile servers, one per cell and all in the list of known servers.
     /// Does not start the broker.
     pub fn new(name: &str, servers: usize) -> Self {
-        let dir = std::env::temp_dir().join(format!("badgergauge-crossing-{}-{name}", std::process::id()));
+        let dir = std::env::temp_dir().join(format!("badgergauge-test-{}-{name}", std::process::id()));
         fs::create_dir_all(&dir).expect("a directory");
         let servers: Vec<TileServer> = (0..servers).map(|_| TileServer::new()).collect();
         let addresses: Vec<String> = servers.iter().map(|server| server.address.to_string()).collect();
--- a/tests/crossings/lists.rs
+++ b/tests/crossings/lists.rs
@@ -71,12 +71,12 @@
 
 #[test]
 fn a_drain_arrives_after_a_silent_watch_and_an_unanswered_call() {
-    assert_drain_after_failures("silent-asked", true, None);
+    assert_drain_after_failures("silent-on-request", true, None);
 }
 
 #[test]
 fn a_drain_arrives_after_a_silent_watch_and_a_rejected_call() {
-    assert_drain_after_failures("away-asked", true, Some(REJECTION));
+    assert_drain_after_failures("rejected-on-request", true, Some(REJECTION));
 }
 
 #[test]
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_drain_arrives_after_a_silent_agent_watch_and_a_rejected_call() {
-    assert_drain_after_failures("away-pushed", false, Some(REJECTION));
+    assert_drain_after_failures("rejected-pushed", false, Some(REJECTION));
 }
 
 // A list starts and trickles in without ending. That is no sign of life: the broker must give the watch up
@@ -131,7 +131,7 @@
 // call in time, however long its back-off had become.
 #[test]
 fn a_discovery_that_rejected_calls_is_called_again_in_time() {
-    let (harness, open) = start_with_list("away", |harness| {
+    let (harness, open) = start_with_list("rejected", |harness| {
         set_on_request_mode(harness);
         harness.set_config("/settings/balancers", json!(300));
     });
@@ -192,7 +192,7 @@
 // they arrive, and a reset in the middle of a list does not complete it.
 #[test]
 fn lists_without_content_length_apply_and_a_reset_completes_none() {
-    let mut harness = Harness::new("plain", 2);
+    let mut harness = Harness::new("no-length", 2);
     harness.set_config("/settings/extra/width", json!(2));
     harness.start();
     let mut call = harness.discovery.accept_call();
@@ -212,7 +212,7 @@
 // A drain arrives while a part waits for a connection to that server. The part must not be sent there.
 #[test]
 fn a_drain_withdraws_parts_that_wait_for_a_connection() {
-    let mut harness = Harness::new("waits", 1);
+    let mut harness = Harness::new("withdrawn", 1);
     harness.set_config("/settings/safety/drainGraceNs", json!(2_000_000_000_u64));
     harness.servers[0].block_connects();
     harness.start();
@@ -238,7 +238,7 @@
 // first. The step sees both, and nothing is sent.
 #[test]
 fn a_removal_and_a_query_in_one_step() {
-    let mut harness = Harness::new("gathering", 1);
+    let mut harness = Harness::new("removal", 1);
     harness.start();
     let mut call = harness.discovery.accept_call();
     call.start_watch();
--- a/tests/crossings/settings.rs
+++ b/tests/crossings/settings.rs
@@ -134,7 +134,7 @@
 fn the_broker_serves_on_random_valid_settings() {
     for seed in 0..24 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut harness = Harness::new(&format!("drawn-{seed}"), 0);
+        let mut harness = Harness::new(&format!("random-{seed}"), 0);
         let servers = rng.random_range(1..4);
         let entries =
             (0..servers).map(|cell| server_entry(&format!("s{cell}"), start_tile_server(), cell, "up"));
--- a/tests/crossings/shutdown.rs
+++ b/tests/crossings/shutdown.rs
@@ -14,7 +14,7 @@
 // follow.
 #[test]
 fn accepted_queries_are_answered_before_a_kill() {
-    let mut harness = Harness::new("hung", 1);
+    let mut harness = Harness::new("unanswered", 1);
     harness.start();
     let mut client = harness.client();
     client.send_query("flag", "r1", 0);
@@ -50,7 +50,7 @@
 // response and an orderly close, not a reset.
 #[test]
 fn the_last_response_is_not_lost_to_unread_bytes() {
-    let mut harness = Harness::new("behind", 1);
+    let mut harness = Harness::new("unread-bytes", 1);
     harness.start();
     let mut client = harness.client();
     client.send_query("search", "r1", 0);
@@ -75,7 +75,7 @@
 // query that arrived before the close is served; a later one must never be sent to a server.
 #[test]
 fn a_query_after_the_close_is_never_sent() {
-    let mut harness = Harness::new("crosses", 1);
+    let mut harness = Harness::new("late-query", 1);
     harness.start();
     let mut idle = harness.client();
     idle.send("GET /up HTTP/1.1\r\n\r\n");
@@ -98,7 +98,7 @@
 // The idle timeout starts at the response: after a slow query the client may send another one.
 #[test]
 fn the_idle_timeout_starts_at_the_response() {
-    let mut harness = Harness::new("rests", 1);
+    let mut harness = Harness::new("idle-timeout", 1);
     harness.set_class_option("aimNs", &json!(30_000_000_000_u64));
     harness.start();
     let mut client = harness.client();
@@ -123,7 +123,7 @@
 // receive all of it.
 #[test]
 fn a_response_that_is_read_slowly_is_not_truncated() {
-    let mut harness = Harness::new("slowly", 1);
+    let mut harness = Harness::new("slow-reader", 1);
     harness.set_config("/settings/extra/slices", json!(150));
     harness.set_config("/settings/limits/maxOpen", json!(1000));
     harness.set_config("/settings/limits/maxStreams", json!(200));
@@ -155,13 +155,13 @@
     let mut harness = Harness::new("half", 1);
     harness.start();
     let mut client = harness.client();
-    let whole = request("search", "r1", &[0], 50_000);
-    client.send(&whole[..40]);
+    let text = request("search", "r1", &[0], 50_000);
+    client.send(&text[..40]);
     harness.wait_until_input_processed();
     harness.signal("TERM");
     harness.signal("TERM");
     harness.wait_for_log("stopping");
-    client.send(&format!("{}{}", &whole[40..], request("search", "behind", &[0], 50_000)));
+    client.send(&format!("{}{}", &text[40..], request("search", "behind", &[0], 50_000)));
     let mut server = harness.servers[0].accept();
     assert_eq!(server.next_part(), "r1.0");
     server.serve("r1.0", "v");
@@ -175,7 +175,7 @@
 // Operators find in the log why a broker was slow to become ready.
 #[test]
 fn the_start_time_is_logged_by_phase() {
-    let mut harness = Harness::new("says", 1);
+    let mut harness = Harness::new("start-time", 1);
     harness.start();
     let line = harness.wait_for_log("started in ");
     assert!(line.contains(" for the first list (last known)") && line.contains(" to listen"), "{line}");
@@ -186,7 +186,7 @@
 // listening, including those accepted at that moment whose first request was still on its way.
 #[test]
 fn a_client_accepted_as_listening_ends_may_still_send_a_request() {
-    let mut harness = Harness::new("last-taken", 1);
+    let mut harness = Harness::new("last-accepted", 1);
     harness.start();
     harness.signal("TERM");
     harness.wait_for_log("stopping");
--- a/tests/crossings/slow_writes.rs
+++ b/tests/crossings/slow_writes.rs
@@ -16,7 +16,7 @@
 // slow.
 #[test]
 fn no_part_is_sent_after_a_slow_write_for_a_client_that_has_disconnected() {
-    let mut harness = Harness::new("held-up", 2);
+    let mut harness = Harness::new("slow-write", 2);
     // No connection is closed as unresponsive, however long the test itself is delayed.
     harness.set_class_option("aimNs", &json!(50_000_000_000_u64));
     harness.can_delay_writes = true;
--- a/tests/operations/drain.rs
+++ b/tests/operations/drain.rs
@@ -69,7 +69,7 @@
 // never sent to a server.
 #[test]
 fn an_idle_connection_is_closed_and_later_queries_are_never_sent() {
-    let mut harness = controlled_broker("rests", 1);
+    let mut harness = controlled_broker("idle", 1);
     harness.start();
     let mut idle = harness.client();
     idle.send(UP);
@@ -98,7 +98,7 @@
 // it resumes.
 #[test]
 fn a_request_at_the_end_of_the_idle_time_is_answered() {
-    let mut harness = controlled_broker("moment", 1);
+    let mut harness = controlled_broker("idle-end", 1);
     harness.start();
     let mut idle = harness.client();
     idle.send(UP);
@@ -123,7 +123,7 @@
 // either first.
 #[test]
 fn a_request_concurrent_with_the_drain_request_is_answered() {
-    let mut harness = controlled_broker("call", 1);
+    let mut harness = controlled_broker("concurrent", 1);
     harness.start();
     let mut client = harness.client();
     client.send(UP);
@@ -169,7 +169,7 @@
 // The idle timer of the first drain fires during the second one or outside any: it must close nothing.
 #[test]
 fn timers_of_earlier_drains_do_not_affect_the_last_one() {
-    let mut harness = controlled_broker("turns", 1);
+    let mut harness = controlled_broker("repeated", 1);
     harness.start();
     let mut idle = harness.client();
     idle.send(UP);
--- a/tests/operations/statistics.rs
+++ b/tests/operations/statistics.rs
@@ -218,7 +218,7 @@
 
 #[test]
 fn statistics_equal_what_clients_and_servers_count() {
-    let mut test = StatisticsTest::start("day");
+    let mut test = StatisticsTest::start("all-outcomes");
     let mut statuses = Vec::new();
     for round in 0..5 {
         for class in CLASSES {
