--- a/tests/crossings/attempts.rs
+++ b/tests/crossings/attempts.rs
@@ -107,7 +107,7 @@
 }
 
 // The broker cancels an attempt whose answer is already in the socket. The answer must be ignored, and the
-// part must not be sent reconnected.
+// part must not be sent again.
 #[test]
 fn an_answer_to_a_cancelled_attempt_is_ignored() {
     let mut harness = Harness::new("cancelled", 1);
@@ -123,7 +123,7 @@
     harness.resume();
     let mut next = harness.client();
     next.send_query("search", "next", 0);
-    // Depending on what the broker reads first, it may send a cancel frame, but not the part reconnected.
+    // Depending on what the broker reads first, it may send a cancel frame, but not the part again.
     let mut frame = server.next_frame();
     if frame == "cgone.0" {
         frame = server.next_frame();
